--- a/libs/capacity/include/capacity/CallerPatience.h
+++ b/libs/capacity/include/capacity/CallerPatience.h
@@ -1,9 +1,10 @@
-// Tells callers who come back after a refusal from those who come for the first time, by the time that they still give.
+// Detects retries of refused requests by the time that the caller still allows for the answer.
 //
-//     if (patience.hasReturned(route, timeLeft)) ...      // a second refusal would be final
+//     if (detector.hasReturned(route, timeLeft, now)) ...      // the caller gives up after another refusal
 //
-// Nobody says that a request was refused before, and the next attempt comes to another node. But callers of one route mostly give the same
-// time, and one who comes back gives what is left of it. The longest time seen of late is what a first attempt gives.
+// A request doesn't say that it is a retry, and a retry usually reaches another node than the first attempt. But most callers of a route
+// allow the same time for a first attempt, and a retry allows only what is left of it. So the longest time that recent requests of the
+// route allowed is taken as that of a first attempt, and a request that allows clearly less is taken for a retry.
 #pragma once
 
 #include "base/Time.h"
@@ -16,6 +17,7 @@
 
 class CallerPatience {
 public:
+    // Returns whether the request is probably a retry, and records the time that it allows.
     bool hasReturned(const std::string& route, Duration timeLeft, TimePoint now)
     {
         if (longest_.size() >= mostRoutes)
@@ -27,11 +29,11 @@
     }
 
 private:
-    // Callers that give the same time differ by what their request was on its way.
+    // Requests that allow the same time differ by their time on the network.
     static constexpr Duration timingNoise = std::chrono::milliseconds(50);
-    // No refusal asks a caller back sooner.
+    // No refusal lets a caller retry sooner than this.
     static constexpr Duration leastAbsence = std::chrono::milliseconds(120);
-    // A change of the time that callers give is known after it.
+    // When callers begin to allow less time, the longer time of earlier requests is dropped after this delay.
     static constexpr Duration forgottenAfter = std::chrono::seconds(10);
     static constexpr std::size_t mostRoutes = 1024;
 
--- a/libs/capacity/include/capacity/CapacityBoard.h
+++ b/libs/capacity/include/capacity/CapacityBoard.h
@@ -1,25 +1,30 @@
-// Picks engines for questions and batch items from what all nodes say that they run.
+// Picks engines for online requests and batch items, based on the work that all nodes report.
 //
-//     CapacityBoard board(settings, region, domain, seed);
+//     CapacityBoard board(settings, self, location, seed);
 //     board.upsert(entry);                          // from discovery
-//     board.heard(use, now);                        // from another node
-//     EnginePick pick = board.pickQuestion("chat", {}, now);
+//     board.applyReport(use, now);                  // from another node
+//     EnginePick pick = board.pickQuestion("chat", bound, repeatable, {}, now);
 //     if (pick.isSome()) board.started(pick.engine_, WorkClass::Question);
 //
-// Failure met: engines know no priorities and admit in order of arrival, so a question that reaches a full engine waits behind work
-// that nobody waits for, and nodes that count only their own work send to the same engine at the same moment. It shows as first events that
-// come hundreds of milliseconds late in a burst while other engines have free slots. The guard holds because the counts of all
-// nodes of a cell are exact but for the last millisecond or two, engines of other cells are used for what is left over there, ties are broken at random, and nothing of batch is ever sent to an
-// engine without a free slot.
+// An online request is in time if its first event arrives within the target latency of its route.
 //
-// Failure met: an engine resets each request and answers its health check. With nothing running it looks the emptiest, so it draws
-// questions like a hole; a health check, or the end of an older stream, must not clear it. It shows as one engine with far more
-// arrivals than others and failures in a row. The guard: an engine that failed is left alone, longer after each failure; then one
-// request at a time tries it, of one node only, and one that may be sent elsewhere if it fails. Until that ends well the node tells
-// the others, which use the engine only when nothing else is left. When many engines fail a node within a moment, its own network is
-// the likelier cause, and none is blamed.
+// Engines have no priorities and admit requests in order of arrival, so an online request that is sent to a full engine waits behind batch
+// work. Nodes that counted only their own work would also send to the same engine at the same moment. In a burst, first events would then
+// be hundreds of milliseconds late while other engines have free slots. The board prevents this:
+//   - It counts the work of all nodes of the cell. The counts are exact except for the last millisecond or two.
+//   - It uses engines of other cells only for the capacity that those cells leave free.
+//   - It breaks ties at random.
+//   - It never sends a batch item to an engine without a free slot.
 //
-// Two nodes that pick in the same millisecond may both take the last slot of an engine; the second waits there for one slot to end.
+// A faulty engine may reset each request and still pass its health check. It has nothing running and looks idle, so without further
+// measures it would receive most online requests and fail them all. Neither a passed health check nor the end of an older stream proves
+// that it works again. So the board backs off from an engine that failed, for longer after each failure. After the backoff a single node
+// tests the engine, with one request at a time that can be sent to another engine if this one fails. Until such a request succeeds, the
+// node reports the engine as failing, and other nodes use it only when no other engine is left. When many engines lose connections of one
+// node within a moment, the node's own network is the likelier cause, and the failures aren't attributed to the engines.
+//
+// Two nodes that pick in the same millisecond may both take the last slot of an engine; the second request then waits in the engine until
+// a slot is free.
 #pragma once
 
 #include "base/Endpoint.h"
@@ -39,84 +44,84 @@
 
 namespace jj {
 
-// One start of an engine, as discovery tells it. Another start has another id here, also under the same name.
+// One incarnation of an engine, as discovery reports it. After a restart the engine has a new id, even under the same name.
 struct EngineEntry {
     UpstreamId id_;
-    std::string name_; // the instance's own name
+    std::string name_; // of the engine instance
     std::string service_;
     Endpoint at_;
     RegionId region_;
     FailureDomainId domain_;
-    CellId cell_; // whose nodes use it first; none: no cell's
-    std::uint32_t slots_ = 1; // requests that it works on at once
-    bool draining_ = false; // leaves: gets nothing new
+    CellId cell_; // the cell whose nodes have priority on it; none: it belongs to no cell
+    std::uint32_t slots_ = 1; // requests that it runs at once
+    bool draining_ = false; // it is shutting down and gets no new requests
 
     friend bool operator==(const EngineEntry&, const EngineEntry&) = default;
 };
 
 enum class PickKind : std::uint8_t {
-    None, // no engine can take it in time
-    Free, // an engine with a free slot
-    Displaces, // all slots are taken, one of them by a batch item that has to give way
-    Queues, // waits in the engine's own queue, in time by what is known
+    None, // no engine can start the request in time
+    Free, // the engine has a free slot
+    Displaces, // all slots of the engine are taken, at least one of them by a batch item that can be preempted
+    Queues, // the request waits in the engine's own queue and is expected to start in time
 };
 
 struct EnginePick {
     PickKind kind_ = PickKind::None;
     UpstreamId engine_;
-    Duration wait_ {}; // predicted, for Queues; for None: until the first slot is expected to be free
+    Duration wait_ {}; // predicted delay until the request starts; for None: until the first slot is expected to be free
 
     bool isSome() const { return kind_ != PickKind::None; }
 };
 
 enum class EngineFault : std::uint8_t {
-    NotConnected, // refused or timed out
-    Lost, // the connection ended, or fell silent, after a request was sent
-    Failure, // an answer that is the engine's own failure; it may be the request's fault
+    NotConnected, // the connection was refused or timed out
+    Lost, // the connection was closed, or no data arrived on it, after a request was sent
+    Failure, // the engine answered with an error; the request itself may be the cause
 };
 
 struct CapacitySettings {
-    // A node that hasn't reported for so long counts as running nothing: four reports in a row were lost, or it is gone.
+    // The work of a node that sent no report for this long is dropped: four reports in a row were lost, or the node has stopped.
     Duration reportTimeout_ = 2s;
-    // Slots of each engine that batch items leave free for the questions of the next milliseconds. Measured on bursts of 1.9 times the mean
-    // at three quarters of the slots in use.
+    // Slots of each engine that batch items leave free for the online requests of the next milliseconds. Measured with bursts of 1.9 times
+    // the mean load, at three quarters of the slots in use.
     std::uint32_t batchReserve_ = 1;
-    // After its start a node doesn't know what engines still run for processes that lost their power: batch gets their slots little by little.
+    // After a power failure, engines may still run work of processes that no longer exist, and no node counts it. So a node that has just
+    // started raises the number of slots that batch may use gradually over this time.
     Duration batchRamp_ = 3s;
-    // Items of other nodes go first when they are due earlier by so much; differences below are as old as the reports that tell them.
+    // Items of other nodes go first when they are due earlier by at least this much. Smaller differences are within the age of the reports.
     Duration dueStep_ = 250ms;
-    // An item that runs leaves its slot to one that waits elsewhere and is due earlier by so much. Going on elsewhere costs 10 to 30 ms of
-    // an engine's reading, so it isn't done for less than the length of a short run.
+    // A running item yields its slot to an item that waits at another node and is due earlier by at least this much. An engine needs 10 to
+    // 30 ms to read the input of a resumed item again, so an item doesn't yield for less than the length of a short run.
     Duration cedeStep_ = 3s;
-    // What an engine says of its load counts for so long, and from this much more than the nodes reported: reports are a millisecond or two
-    // behind, so a difference of one is usual.
+    // The load that an engine itself reports is used for loadFresh_, and only when it exceeds the work that the nodes report by at
+    // least leastUnheard_ requests: node reports are a millisecond or two old, so a difference of one request is normal.
     Duration loadFresh_ = 150ms;
     std::uint32_t leastUnheard_ = 2;
-    // An engine that failed is left alone for firstShun_, and twice as long after each further failure, up to longestShun_.
+    // Backoff after the first failure of an engine; it doubles with each further failure, up to longestShun_.
     Duration firstShun_ = 500ms;
     Duration longestShun_ = 6s;
-    // Failures are remembered with this half-life, also over a success: an engine that fails four in ten is not soon trusted again.
+    // Half-life of the failure score. A success doesn't reset the score, so an engine that fails four requests in ten keeps a high score.
     Duration failureHalfLife_ = 4s;
-    // An own answer of an engine that is so fresh counts for more than another node's report that it fails.
+    // An answer that this node got from an engine within this time outweighs the reports of other nodes that the engine fails.
     Duration freshSuccess_ = 1s;
-    // More than this part of a service's engines, and more than three, lost a connection of this node within sharedFault_: the fault
-    // is the node's own or the network's.
+    // When more than this fraction of a service's engines, and more than three, lose connections of this node within sharedFault_,
+    // the failures are attributed to the node or the network.
     double sharedFaultPart_ = 0.3;
     Duration sharedFault_ = 400ms;
-    // An engine that nobody tried for so long after its time is tried with requests too that can't be sent again.
+    // When an engine wasn't tested for this long after its backoff, requests that can't be repeated may test it too.
     Duration untriedFor_ = 3s;
-    // Extra time of a request to another cell of the region, and to another region: a round trip and the connection.
+    // Additional latency of a request to another cell of the region, and to another region: a round trip and the connection setup.
     Duration otherCellCost_ = 5ms;
     Duration farCost_ = 30ms;
-    // A cell that wasn't heard for so long may have filled its engines.
+    // The report of another cell is dropped after this time, because the cell may have filled its engines since.
     Duration cellTimeout_ = 2s;
-    // What a question's first event takes on an idle engine; the bound on the wait leaves room for it.
+    // Time until the first event of an online request on an idle engine; it is subtracted from the time that the request may wait.
     Duration firstEvent_ = 40ms;
-    // How long a question occupies a slot before any was measured.
+    // Initial estimate of the time that an online request occupies a slot, until runs have been measured.
     Duration assumedRun_ = 800ms;
 };
 
-// Where a host stands.
 struct HostPlace {
     CellId cell_;
     RegionId region_;
@@ -129,86 +134,92 @@
 
     const CapacitySettings& settings() const { return settings_; }
 
-    // The process began then; none: long ago.
+    // Sets the start time of the process. Without it batchRamp_ has no effect.
     void setStart(TimePoint start) { startedAt_ = start; }
 
-    // Is a connection to the engine open that nothing uses? Among engines with about as much room those are preferred.
+    // Sets a function that returns whether an idle open connection to the engine exists. Among engines with similar free capacity, those
+    // with a connection are preferred.
     void setHasConnection(std::function<bool(const Endpoint&)> hasConnection) { hasConnection_ = std::move(hasConnection); }
 
-    // This node counts to another cell from now on; `others`: all further cells that have live nodes.
+    // Assigns this node to the cell `own`. `others`: all other cells that have live nodes.
     void setCells(CellId own, const std::vector<CellId>& others);
 
-    // ---- what discovery says
+    // ---- engines from discovery
     void upsert(const EngineEntry& entry);
     void remove(UpstreamId engine);
     const EngineEntry* find(UpstreamId engine) const;
     std::vector<UpstreamId> engines() const;
 
-    // ---- own work
+    // ---- work of this node
+    // Count the start and the end of a run of this node on the engine.
     void started(UpstreamId engine, WorkClass work);
     void ended(UpstreamId engine, WorkClass work);
-    // How long a question that ended well held its slot.
+    // Records how long a successful online request occupied its slot.
     void measured(Duration run);
-    // How many of its own batch items on the engine don't give way.
+    // Sets how many of this node's batch items on the engine can't be preempted.
     void setFirm(UpstreamId engine, std::uint16_t items);
-    // How many questions wait here for a slot of the service, and how many of them can still be in time.
+    // Sets how many online requests for the service are queued at this node, and how many of them can still meet their target latency.
     void setWaiting(std::string_view service, std::uint16_t count, std::uint16_t inTime);
-    // How many batch items wait here that can still be in time, and when the first of them is due.
+    // Sets how many batch items of the service are queued at this node and can still be done in time, and when the first of them is due.
     void setItemsWaiting(std::string_view service, std::uint16_t count, TimePoint firstDue);
-    // What this node tells the others; node, incarnation and sequence are the caller's to fill.
+    // Returns the report of this node for the others, without node, incarnation and sequence, which the caller sets.
     NodeUse ownUse(TimePoint now) const;
 
-    // ---- what other nodes say
-    // Of a node of this cell.
+    // ---- reports of other nodes and cells
+    // Applies the report of a node of this cell. A report that isn't newer than the last one is ignored.
     void heard(const NodeUse& use, TimePoint now);
+    // Drops the last report of a node, with the work in it.
     void forget(NodeId node);
-    // Of another cell, as it was at `at`; an older one than the last changes nothing.
+    // Applies the report of another cell, as of the time `at`. A report that isn't newer than the last one is ignored.
     void heardCell(const CellUse& use, TimePoint at);
-    // This cell for the others: this node and all that it hears.
+    // Returns the report of this cell for other cells: the sum of this node's work and of the reports of the cell's other nodes.
     CellUse ownCell(TimePoint now) const;
 
-    // ---- what answers say
-    // Says for how long the engine is left alone; zero when it isn't blamed.
+    // ---- health and load of engines
+    // Records a failed request and returns for how long the engine is backed off from; zero when it stays in use.
     Duration failed(UpstreamId engine, EngineFault fault, TimePoint now);
-    // A request that this node sent there ended well, or its stream began.
+    // Records that a request of this node succeeded on the engine, or that its stream began.
     void succeeded(UpstreamId engine, TimePoint now);
-    // A probe found that it lives; it may be tried with a request.
+    // Records that a probe found the engine alive, so that a request may test it.
     void probed(UpstreamId engine);
-    // What the engine itself said of its load a moment ago. It counts where it is higher than what the nodes say: one that can't be heard,
-    // or hasn't been yet after a restart, uses slots too.
+    // Applies the load that the engine itself reported a moment ago. It is used where it is higher than the sum of the node reports,
+    // because nodes whose reports don't arrive, or haven't arrived yet after a restart, use slots too.
     void observed(UpstreamId engine, std::uint32_t running, std::uint32_t waiting, TimePoint now);
-    // The engine said that it is full although the counts say that it has room: nothing is sent there for a moment.
+    // Records that the engine refused a request as full although the counts showed a free slot. It gets no requests for a moment.
     void refusedAsFull(UpstreamId engine, TimePoint now);
-    // Engines that are left alone and whose time is over: they are probed before a request tries them.
+    // Returns the engines whose backoff is over and that must be probed before a request may test them.
     std::vector<UpstreamId> dueForProbe(TimePoint now) const;
 
     // ---- picks
-    // `bound`: how long the question's first event may take. `tried`: engines that it was sent to before. `repeatable`: it may be sent
-    // to another engine if one fails it.
+    // Picks an engine for an online request. `bound`: how long the first event may take. `tried`: engines that the request was sent to
+    // before. `repeatable`: the request may be sent to another engine if this one fails.
     EnginePick pickQuestion(std::string_view service, Duration bound, bool repeatable, std::span<const UpstreamId> tried, TimePoint now);
-    // How long a question would wait that lines up now, behind all that wait in this cell and can be in time.
+    // Returns how long an online request that is queued now would wait, behind all queued requests of this cell that can still be in time.
     Duration queueWait(std::string_view service, TimePoint now) const;
-    // Would a question that lines up now, and whose first event may take `bound`, be in time?
+    // Returns whether an online request that is queued now would be in time if its first event may take `bound`.
     bool isQueueInTime(std::string_view service, Duration bound, TimePoint now) const;
-    // Questions that wait at another node, and at all nodes of this cell, this one included.
+    // Returns the online requests for the service that are queued at another node of this cell.
     ServiceWaiting waitingAt(NodeId node, std::string_view service) const;
+    // Return the number of online requests for the service that are queued at all nodes of this cell, including this one.
     std::uint32_t waiting(std::string_view service) const;
     std::uint32_t waitingInTime(std::string_view service) const;
-    // `urgent`: due so soon that it may use the reserve, and a slot that questions wait for. `due`: of the item; items of other nodes
-    // of the cell that are due earlier go first, and other cells' items at their own engines.
+    // Picks an engine for a batch item that is due at `due`. `urgent`: the item is due so soon that it may use the reserved slots, and
+    // slots that online requests are queued for. Items of other nodes of the cell go first if they are due earlier, and items of another
+    // cell go first on the engines of that cell.
     EnginePick pickBatch(std::string_view service, bool urgent, TimePoint due, std::span<const UpstreamId> tried, TimePoint now);
-    // Must an item that runs and is due then leave its slot to one that waits elsewhere?
+    // Returns whether a running item that is due at `due` must yield its slot to a more urgent item that waits at another node.
     bool mustCedeItem(std::string_view service, TimePoint due, TimePoint now);
-    // The nodes of this cell that run batch items on the engine, the one with most first, and then the delegates of other cells that do.
+    // Returns the other nodes of this cell that run batch items on the engine, the one with most items first, and then the delegates of
+    // other cells that run batch items there.
     std::vector<NodeId> batchHolders(UpstreamId engine) const;
-    // Slots in use by anybody, of those engines of the service that can be sent to.
+    // Slots of the service's engines that are neither draining nor failing, and the work of all nodes on these engines.
     struct Usage {
         std::uint32_t slots_ = 0;
         std::uint32_t questions_ = 0;
         std::uint32_t batchItems_ = 0;
     };
     Usage usage(std::string_view service) const;
-    // Work on one engine, of all nodes.
+    // Returns the work of all nodes on the engine.
     EngineUse useOf(UpstreamId engine) const;
 
 private:
@@ -219,25 +230,25 @@
         std::uint32_t othersQuestions_ = 0;
         std::uint32_t othersBatch_ = 0;
         std::uint32_t othersFirm_ = 0;
-        std::uint32_t unheard_ = 0; // requests that no node reported, until unheardUntil_
+        std::uint32_t unheard_ = 0; // requests that the engine reported and no node did; valid until unheardUntil_
         TimePoint unheardUntil_ {};
-        double strikes_ = 0; // failures, fading; as of strikesAt_
+        double strikes_ = 0; // weighted number of failures, which decays over time; as of strikesAt_
         TimePoint strikesAt_ {};
-        bool isOnTrial_ = false; // failed, and no request has ended well since its time was over
-        bool isProbed_ = false; // on trial, and a probe found it alive
+        bool isOnTrial_ = false; // it failed, and no request has succeeded since the end of the backoff
+        bool isProbed_ = false; // a probe found it alive after its last failure
         TimePoint shunnedUntil_ {};
         TimePoint fullUntil_ {};
-        TimePoint lostAt_ {}; // a connection of this node
+        TimePoint lostAt_ {}; // when this node last lost a connection to it
         TimePoint succeededAt_ {};
-        std::set<NodeId> accusers_; // other nodes of this cell that have it on trial
-        std::set<CellId> doubters_; // other cells of which several nodes do
+        std::set<NodeId> accusers_; // other nodes of this cell that report it as failing
+        std::set<CellId> doubters_; // other cells that report it as failing
 
         std::uint32_t questions() const { return own_.questions_ + othersQuestions_; }
         std::uint32_t batch() const { return own_.batchItems_ + othersBatch_; }
         std::uint32_t firm() const { return own_.firmItems_ + othersFirm_; }
         std::uint32_t unheard(TimePoint now) const { return now < unheardUntil_ ? unheard_ : 0; }
         std::uint32_t total(TimePoint now) const { return questions() + batch() + unheard(now); }
-        // What a question can't displace.
+        // Work that an online request can't preempt.
         std::uint32_t fixed(TimePoint now) const { return questions() + firm() + unheard(now); }
     };
     struct Report {
@@ -249,9 +260,9 @@
         TimePoint at_ {};
     };
     enum class Distance : std::uint8_t {
-        Near, // an engine of this cell
-        Region, // of another cell of the region
-        Far,
+        Near, // the engine belongs to this cell
+        Region, // it belongs to another cell of this region
+        Far, // it is in another region
     };
     struct Candidate {
         Engine* engine_ = nullptr;
@@ -265,25 +276,31 @@
     void dropCell(CellId cell);
     Distance distanceOf(const Engine& engine) const;
     Duration costOf(Distance distance) const;
-    // Its cell has nodes, and none was heard lately: how full it is isn't known.
+    // Returns whether the load of the engine is unknown: its cell has live nodes, but no recent report of that cell has arrived.
     bool isUnknown(const Engine& engine, TimePoint now) const;
-    // Questions wait there for the slots of their cell.
+    // Returns whether online requests for the service are queued in the engine's own cell.
     bool isWantedThere(const Engine& engine, ServiceId service) const;
+    // Returns the usable engines of the service in random order. Engines that may fail or be full are included only if there are no others.
     std::vector<Candidate> candidates(std::string_view service, bool repeatable, std::span<const UpstreamId> tried, TimePoint now);
+    // Predicts how long an online request would wait in the engine's own queue.
     Duration engineWait(const Engine& engine, TimePoint now) const;
-    // Of engines with free slots the one with the lowest is preferred.
+    // Ranks engines with free slots; the lowest rank is preferred.
     std::uint64_t freeRank(const Engine& engine, Distance distance, TimePoint now) const;
-    // Slots that batch items may take now.
+    // Returns the number of slots that batch items may take now on those of the engines that belong to this cell.
     std::uint32_t batchRoom(std::span<const Candidate> engines, bool urgent, TimePoint now) const;
-    // Of the engine, that batch leaves free.
+    // Returns the number of slots of the engine that batch items leave free.
     std::uint32_t reserveOf(const Engine& engine, bool urgent, TimePoint now) const;
-    // What is left of them in each other cell when its own items have theirs.
+    // Returns for each other cell the number of batch slots on its engines that its own queued items don't need.
     std::map<CellId, std::uint32_t> surplus(std::span<const Candidate> engines, ServiceId service, bool urgent, TimePoint now) const;
-    // Items that wait at other nodes of this cell and are due before `due`.
+    // Returns the number of items that are queued at other nodes of this cell and are due before `due`.
     std::uint32_t itemsDueBefore(std::string_view service, TimePoint due) const;
+    // Returns whether the engine may get a request now; one that failed may get one only as a test.
     bool isUsable(const Engine& engine, bool repeatable, TimePoint now) const;
+    // Returns whether others report the engine as failing and this node has had no recent answer from it.
     bool isDoubtful(const Engine& engine, TimePoint now) const;
+    // Returns whether this node is the one that tests the engine.
     bool isTester(const Engine& engine) const;
+    // Returns whether the loss of connections to the service's engines is attributed to this node or the network.
     bool isSharedFault(const Engine& engine, TimePoint now) const;
     void addAccusations(const NodeUse& use, bool stands);
     void addDoubts(const CellUse& use, bool stands);
@@ -293,11 +310,12 @@
     HostPlace place_;
     std::mt19937_64 random_;
     std::unordered_map<UpstreamId, Engine> engines_;
-    // Invariant: the engines that are on trial, and those that this node has work on; ordered, so that all walks are alike.
+    // Invariant: onTrial_ holds the engines with isOnTrial_ set, and ownWork_ the engines that run work of this node. The sets are
+    // ordered, so that iteration is deterministic.
     std::set<UpstreamId> onTrial_;
     std::set<UpstreamId> ownWork_;
     std::map<NodeId, Report> reports_;
-    std::map<CellId, CellReport> cells_; // other cells that were heard
+    std::map<CellId, CellReport> cells_; // the last reports of other cells
     std::set<CellId> peopled_; // other cells that have live nodes
     TimePoint silentCheckedAt_ {};
     TimePoint startedAt_ {};
@@ -306,7 +324,7 @@
         TimePoint firstDue_ {};
     };
 
-    // Sums over this node and its cell.
+    // Returns the online requests for the service that are queued at all nodes of this cell, including this one.
     ServiceWaiting allWaiting(std::string_view service) const;
 
     std::map<ServiceId, ServiceWaiting> ownWaiting_;
--- a/libs/capacity/include/capacity/FullPhases.h
+++ b/libs/capacity/include/capacity/FullPhases.h
@@ -1,12 +1,12 @@
-// How long a service stays full, learned from the times it was: tells a refused caller when to come back.
+// Predicts how long a service stays overloaded, from its earlier overload periods, so that a refused caller knows when to retry.
 //
 //     phases.refused(now);
 //     const Duration wait = phases.remaining(now);
 //
-// Pattern answered: bursts that come again and again and last for some seconds each, with room between them. A caller who is told the time
-// until one slot is free comes back into the same burst, is refused once more, and gives up. One who is told the burst's usual
-// rest meets all others who were told it, and the burst's last runs; so the middle of the usual pause is told. A phase lasts from
-// a first refusal until none has come for a while.
+// The prediction is made for load that comes in repeated bursts of some seconds each, with free capacity between them. A caller that
+// retries as soon as one slot is expected to be free arrives in the same burst, is refused again and gives up. A caller that retries at
+// the expected end of the burst competes with all other refused callers and with the last runs of the burst. So the predicted time ends
+// in the middle of the usual pause between two bursts. A period begins with a refusal and ends when no refusal has come for maxRefusalGap.
 #pragma once
 
 #include "base/Time.h"
@@ -17,6 +17,7 @@
 
 class FullPhases {
 public:
+    // Records that a request was refused because the service has no free slot.
     void refused(TimePoint now)
     {
         if (!isFull_ || now - lastRefusal_ > quiet) {
@@ -27,23 +28,23 @@
         lastRefusal_ = now;
     }
 
-    // How long until there is room behind the phase of the last refusal; zero when nothing is known that speaks for it.
+    // Returns the expected time until the service has free slots again; zero when it isn't overloaded.
     Duration remaining(TimePoint now) const
     {
         if (!isFull_ || now - lastRefusal_ > quiet)
             return Duration::zero();
         const Duration sofar = now - began_;
         const Duration expected = isKnown_ ? mean_ : assumed;
-        // A phase that outlasts the usual ones lasts on, for a part of what it has lasted so far.
+        // A period that is already longer than usual is expected to last for another quarter of its length so far.
         return std::max<Duration>(expected - sofar, sofar / 4) + pause_ / 2;
     }
 
 private:
-    // Refusals of one burst come closer together than this, and bursts farther apart.
+    // Two refusals of the same burst are closer together than this, and two bursts are farther apart.
     static constexpr Duration quiet = std::chrono::milliseconds(600);
-    // Of the first phase nothing is known; most bursts last longer.
+    // The expected length of the first period, for which there is no measurement yet; most bursts last longer.
     static constexpr Duration assumed = std::chrono::seconds(1);
-    // A longer pause is none between two bursts of a rhythm; its middle says nothing.
+    // Longer pauses are cut to this: the load isn't periodic then, and half of the pause is no useful retry delay.
     static constexpr Duration longestPause = std::chrono::seconds(10);
 
     void close(TimePoint now)
@@ -62,7 +63,7 @@
     TimePoint began_ {};
     TimePoint lastRefusal_ {};
     Duration mean_ {};
-    Duration pause_ {}; // between two phases, on the mean
+    Duration pause_ {}; // mean time between two periods
 };
 
 } // namespace jj
--- a/libs/capacity/include/capacity/NodeUse.h
+++ b/libs/capacity/include/capacity/NodeUse.h
@@ -1,4 +1,5 @@
-// What one node runs on each engine, as it reports it to the nodes of its cell, and what a whole cell runs, as other cells hear it.
+// The work that one node runs on each engine, as it reports it to the nodes of its cell, and the work of a whole cell, as its delegate
+// reports it to other cells.
 #pragma once
 
 #include "base/Id.h"
@@ -10,54 +11,57 @@
 namespace jj {
 
 enum class WorkClass : std::uint8_t {
-    Question, // somebody waits for its first event
-    BatchItem, // gives way to questions and goes on later
+    Question, // a caller waits for its first event
+    BatchItem, // can be preempted by online requests, and is resumed later
 };
 
-// Invariant: a whole count, not a difference, so that a lost datagram is made good by the next one.
+// One node's work on an engine.
+//
+// Invariant: the counts are totals, not differences, so that the next datagram makes up for a lost one.
 struct EngineUse {
     UpstreamId engine_;
     std::uint16_t questions_ = 0;
     std::uint16_t batchItems_ = 0;
-    std::uint16_t firmItems_ = 0; // of the batch items: those that are due too soon to give way
+    std::uint16_t firmItems_ = 0; // batch items that are due too soon to be preempted; included in batchItems_
 
     friend bool operator==(const EngineUse&, const EngineUse&) = default;
 };
 
-// Questions that wait at a node for a slot.
+// The online requests for a service that are queued at a node until a slot is free.
 struct ServiceWaiting {
     ServiceId service_;
     std::uint16_t count_ = 0;
-    std::uint16_t inTime_ = 0; // of them: those that can still be in time
+    std::uint16_t inTime_ = 0; // those that can still meet their target latency; included in count_
 
     friend bool operator==(const ServiceWaiting&, const ServiceWaiting&) = default;
 };
 
-// Batch items that wait at a node for a slot and can still be in time.
+// The batch items of a service that are queued at a node until a slot is free and can still be done when they are due.
 struct ItemsWaiting {
     ServiceId service_;
     std::uint16_t count_ = 0;
-    Duration dueIn_ {}; // of the one that is due first, from when this was sent
+    Duration dueIn_ {}; // from the sending of the report until the first item is due
 
     friend bool operator==(const ItemsWaiting&, const ItemsWaiting&) = default;
 };
 
+// The report of one node to the other nodes of its cell.
 struct NodeUse {
     NodeId node_;
-    Incarnation incarnation_; // of the process; a report of an older one is dropped
-    std::uint32_t sequence_ = 0; // grows with each report of the process
+    Incarnation incarnation_; // of the process; a report of an older incarnation is dropped
+    std::uint32_t sequence_ = 0; // increases with each report of the process
     std::vector<EngineUse> uses_; // only engines with work
-    std::vector<UpstreamId> shunned_; // engines that failed the node lately
-    std::vector<ServiceWaiting> waiting_; // only services with waiters
-    std::vector<ItemsWaiting> items_; // only services with such items
+    std::vector<UpstreamId> shunned_; // engines that failed for the node and have not succeeded since
+    std::vector<ServiceWaiting> waiting_; // only services with queued requests
+    std::vector<ItemsWaiting> items_; // only services with queued items
 };
 
-// All nodes of a cell together.
+// The report of a cell to other cells: the sum of the reports of its nodes.
 struct CellUse {
     CellId cell_;
-    NodeId delegate_; // that sums it up; passes on what is asked of the cell
+    NodeId delegate_; // the node that computes the sum and forwards requests to the other nodes of the cell
     std::vector<EngineUse> uses_; // only engines with work of the cell
-    std::vector<UpstreamId> shunned_; // engines that failed several of its nodes lately
+    std::vector<UpstreamId> shunned_; // engines that fail for several of its nodes, or for its only node
     std::vector<ServiceWaiting> waiting_;
     std::vector<ItemsWaiting> items_;
 };
--- a/libs/capacity/include/capacity/WaitingQueue.h
+++ b/libs/capacity/include/capacity/WaitingQueue.h
@@ -1,15 +1,16 @@
-// Questions that wait at this node for a slot, and who of them goes first.
+// Queues online requests at this node until a slot is free, and decides which request gets the slot.
 //
-//     WaitingQueue line;
-//     const QueueTicket ticket = line.enter("chat", inTimeUntil, keepUntil);
-//     if (const auto first = line.first("chat", now)) ...       // a slot is free: it is this one's
-//     line.leave(ticket);
+//     WaitingQueue queue;
+//     const QueueTicket ticket = queue.enter("chat", inTimeUntil, keepUntil);
+//     if (const auto first = queue.first("chat", now)) ...       // the request that gets the next free slot
+//     queue.leave(ticket);
 //
-// A question that is sent to a full engine waits there behind requests whose ends nobody knows: the eight of a burst's first moment end
-// together 750 ms later. One that waits here takes whichever slot comes free first, of all engines.
+// A request that is sent to a full engine waits behind requests whose end can't be predicted: the eight requests that fill an engine at
+// the start of a burst all end together, 750 ms later. A request that waits in this queue gets the first slot that becomes free on any
+// engine.
 //
-// Those that can still be in time go first, the oldest ahead; then those that are late already. So a wait that was predicted too short costs
-// one question its time and not each one behind it.
+// Requests that can still meet their target latency go first, oldest first, and those that are already late go after them. So when a wait
+// was predicted too short, only that one request is late, and not each request behind it too.
 #pragma once
 
 #include "base/Id.h"
@@ -28,16 +29,17 @@
 
 class WaitingQueue {
 public:
-    // `inTimeUntil`: sent by then its first event is in time. `keepUntil`: after it waiting serves nobody.
+    // Adds a request. `inTimeUntil`: the latest time to send it so that its first event meets the target latency. `keepUntil`: the time
+    // after which the request is expired.
     QueueTicket enter(std::string_view service, TimePoint inTimeUntil, TimePoint keepUntil);
     void leave(QueueTicket ticket);
-    // Who gets the next slot; none: nobody waits.
+    // Returns the request that gets the next free slot of the service; none when the queue has no request for it.
     std::optional<QueueTicket> first(std::string_view service, TimePoint now) const;
-    // Those whose time is over; they stay until they leave.
+    // Returns the requests that are past their `keepUntil`. They stay in the queue until they are removed with leave().
     std::vector<QueueTicket> expired(TimePoint now) const;
     std::vector<std::string> services() const;
     std::uint16_t size(std::string_view service) const;
-    // Those that can still be in time.
+    // Returns the number of requests for the service that can still meet their target latency.
     std::uint16_t inTime(std::string_view service, TimePoint now) const;
     bool isInTime(QueueTicket ticket, TimePoint now) const;
     bool empty() const { return waiters_.empty(); }
@@ -49,7 +51,7 @@
         TimePoint keepUntil_ {};
     };
 
-    std::map<QueueTicket, Waiter> waiters_; // tickets grow, so the oldest comes first
+    std::map<QueueTicket, Waiter> waiters_; // tickets increase, so the oldest comes first
     std::uint64_t nextTicket_ = 1;
 };
 
--- a/libs/capacity/src/CapacityAnswers.cpp
+++ b/libs/capacity/src/CapacityAnswers.cpp
@@ -1,4 +1,4 @@
-// What answers say of engines: failures, trials, and the load that they tell.
+// The health and load of engines: failures, backoff, tests after the backoff, and the load that engines report themselves.
 #include "capacity/CapacityBoard.h"
 
 #include <algorithm>
@@ -8,12 +8,13 @@
 
 namespace {
 
-    // An engine that said "full" has been found out by an entry whose counts lag; its queue needs a step or two.
+    // An engine refuses a request as full when the counts of the node that sent it are behind. It needs one or two inference steps until
+    // its queue is shorter.
     constexpr Duration fullPause = 30ms;
 
 } // namespace
 
-// A service's engines don't lose their connections to one node at the same moment by themselves.
+// Independent engine failures don't happen at the same moment, so simultaneous losses point to the node or its network.
 bool CapacityBoard::isSharedFault(const Engine& engine, TimePoint now) const
 {
     constexpr std::size_t alwaysBlamed = 3;
@@ -39,7 +40,7 @@
         if (isSharedFault(one, now))
             return {};
     }
-    // The streams of one crash end together; they are one failure.
+    // All streams of an engine end when it crashes; they count as one failure.
     if (one.isOnTrial_ && now < one.shunnedUntil_)
         return one.shunnedUntil_ - now;
     constexpr double weights[] = { 1, 1, 0.5 };
@@ -55,7 +56,7 @@
     setOnTrial(one, true);
     one.isProbed_ = false;
     one.shunnedUntil_ = now + shun;
-    // While it is left alone it can't prove itself, so nothing fades.
+    // The engine gets no requests during the backoff and can't succeed, so the decay of the score begins after it.
     one.strikesAt_ = one.shunnedUntil_;
     return shun;
 }
@@ -67,7 +68,7 @@
         return;
     Engine& one = found->second;
     one.succeededAt_ = now;
-    // A stream that began before the failure says nothing about requests that come after it.
+    // The success of a stream that began before the failure doesn't prove that the engine works again.
     if (one.isOnTrial_ && now >= one.shunnedUntil_)
         setOnTrial(one, false);
 }
--- a/libs/capacity/src/CapacityBoard.cpp
+++ b/libs/capacity/src/CapacityBoard.cpp
@@ -1,4 +1,4 @@
-// Counts: of discovery, of this node and of the others.
+// The engines that discovery reports, and the counts of the work that this node and other nodes run on them.
 #include "capacity/CapacityBoard.h"
 
 #include "base/Hash.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // Part of a new measurement in the running mean of a question's time in its slot.
+    // Weight of a new measurement in the moving average of the time that an online request occupies its slot.
     constexpr double meanGain = 0.05;
     // Well under CapacitySettings::reportTimeout_.
     constexpr Duration silentCheckPeriod = 100ms;
@@ -34,7 +34,7 @@
     place->second.own_.engine_ = entry.id_;
     if (!isNew)
         return;
-    // Others may have reported work on it before this node heard of it.
+    // Other nodes may have reported work on the engine before discovery reported it to this node.
     Engine& engine = place->second;
     const auto addUse = [&engine](const std::vector<EngineUse>& uses) {
         for (const EngineUse& use : uses) {
@@ -81,7 +81,7 @@
     return ids;
 }
 
-// ---- own work
+// ---- work of this node
 
 void CapacityBoard::started(UpstreamId engine, WorkClass work)
 {
@@ -98,7 +98,7 @@
     if (found == engines_.end())
         return;
     std::uint16_t& count = work == WorkClass::Question ? found->second.own_.questions_ : found->second.own_.batchItems_;
-    // Work of an engine that left and came back in between was counted on the entry that is gone.
+    // If the engine was removed and added again in between, the work was counted on the entry that was removed.
     if (count > 0)
         --count;
     if (found->second.own_.questions_ + found->second.own_.batchItems_ == 0)
--- a/libs/capacity/src/CapacityCells.cpp
+++ b/libs/capacity/src/CapacityCells.cpp
@@ -1,4 +1,4 @@
-// Other cells: what each runs as a whole, and what this one says of itself.
+// The reports of other cells, each with the total work of the cell, and the report of this cell.
 #include "capacity/CapacityBoard.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // One node's own trouble says little of an engine; that of two does.
+    // A failure that only one node sees may be caused by that node; one that two nodes see is attributed to the engine.
     constexpr std::size_t leastAccusers = 2;
 
     std::uint16_t bounded(std::uint32_t count) { return static_cast<std::uint16_t>(std::min<std::uint32_t>(count, UINT16_MAX)); }
@@ -107,7 +107,7 @@
     for (const auto& [node, report] : reports_)
         addNode(report.use_, now - report.at_);
     CellUse cell { place_.cell_, self_, valuesOf(uses), {}, valuesOf(waiting), valuesOf(items) };
-    // A cell of one node has nobody else to ask.
+    // In a cell of one node no second node can confirm the failure.
     const std::size_t enough = reports_.empty() ? 1 : leastAccusers;
     for (const auto& [id, engine] : engines_) {
         if (engine.accusers_.size() + (engine.isOnTrial_ ? 1 : 0) >= enough)
--- a/libs/capacity/src/CapacityPicks.cpp
+++ b/libs/capacity/src/CapacityPicks.cpp
@@ -1,4 +1,4 @@
-// The order in which engines are preferred, and who waits for what they leave.
+// The order in which engines are preferred, and the order in which queued requests and items get free slots.
 #include "capacity/CapacityBoard.h"
 
 #include "base/Hash.h"
@@ -11,14 +11,14 @@
 
 namespace {
 
-    // No engine at all: longer than any question waits.
+    // The predicted wait when the service has no usable engine; longer than any online request waits.
     constexpr Duration neverWait = std::chrono::hours(1);
 
 } // namespace
 
 // ---- picks
 
-// Of the nodes that have the engine on trial one tries it: the others would each lose a request to learn the same.
+// Only the node with the lowest id among those that report the engine as failing tests it. If each of them did, each would lose a request.
 bool CapacityBoard::isTester(const Engine& engine) const
 {
     return engine.accusers_.empty() || self_ < *engine.accusers_.begin();
@@ -35,7 +35,6 @@
     return engine.isProbed_ && now >= engine.shunnedUntil_ && isIdleHere && mayTry && isTester(engine);
 }
 
-// Other nodes say that it fails, and this one has no fresh answer of it.
 bool CapacityBoard::isDoubtful(const Engine& engine, TimePoint now) const
 {
     if ((engine.accusers_.empty() && engine.doubters_.empty()) || engine.isOnTrial_)
@@ -46,27 +45,27 @@
 std::vector<CapacityBoard::Candidate> CapacityBoard::candidates(std::string_view service, bool repeatable, std::span<const UpstreamId> tried, TimePoint now)
 {
     std::vector<Candidate> found;
-    std::vector<Candidate> doubtful; // others say that they fail, or nothing is known of them
+    std::vector<Candidate> doubtful; // others report them as failing, or their load is unknown
     for (auto& [id, engine] : engines_) {
         if (engine.entry_.service_ != service || !isUsable(engine, repeatable, now) || std::find(tried.begin(), tried.end(), id) != tried.end())
             continue;
         auto& list = isDoubtful(engine, now) || isUnknown(engine, now) ? doubtful : found;
         list.push_back({ &engine, distanceOf(engine) });
     }
-    // What others say counts only as long as something else is left.
+    // A doubtful engine is used only when there is no other.
     if (found.empty())
         found = std::move(doubtful);
     std::shuffle(found.begin(), found.end(), random_);
     return found;
 }
 
-// Questions end one after the other: with n slots busy, one comes free each n-th part of a run.
+// Online requests end one after the other: when n of them are running, a slot becomes free after 1/n of the mean run time.
 Duration CapacityBoard::engineWait(const Engine& engine, TimePoint now) const
 {
     const std::uint32_t slots = std::max(1U, engine.entry_.slots_);
     const std::uint32_t fixed = engine.fixed(now);
     const std::uint32_t waiting = fixed >= slots ? fixed - slots + 1 : 0;
-    // Firm items keep their slots for seconds, so only the others come free at a question's pace.
+    // Items that can't be preempted keep their slots for seconds, so only the other slots become free at the rate of online requests.
     const std::uint32_t turning = std::max(1U, slots - std::min(slots, engine.firm()));
     return fromSeconds(meanRunSeconds_ * waiting / turning);
 }
@@ -74,7 +73,8 @@
 EnginePick CapacityBoard::pickQuestion(std::string_view service, Duration bound, bool repeatable, std::span<const UpstreamId> tried, TimePoint now)
 {
     dropSilent(now);
-    // In order of what the caller gets: a free slot near, one that batch gives up near, the same in the region, far, a short wait.
+    // Order of preference: a free slot in this cell, a slot in this cell after preempting a batch item, the same two in other cells of the
+    // region, then in other regions, and last a short wait in an engine's queue.
     struct Best {
         const Engine* engine_ = nullptr;
         std::uint64_t rank_ = 0;
@@ -86,7 +86,7 @@
     for (const Candidate& candidate : candidates(service, repeatable, tried, now)) {
         const Engine& engine = *candidate.engine_;
         const bool isNear = candidate.distance_ == Distance::Near;
-        // What others wait for is theirs.
+        // Slots for which requests of another cell are queued are left to that cell.
         const bool isOthers = !isNear && isWantedThere(engine, serviceId);
         const bool isFree = !isOthers && engine.total(now) < engine.entry_.slots_;
         const bool displaces = !isOthers && !isFree && engine.fixed(now) < engine.entry_.slots_;
@@ -115,15 +115,16 @@
     return pick;
 }
 
-// Failure met: what is known of other cells is some hundred ms old, so all nodes that look for a slot there would choose the engine that was the
-// emptiest then. The guard: there engines count as alike that have much room, little, or one slot.
+// Reports of other cells are some hundred milliseconds old, so all nodes that look for a slot there would pick the engine that was least
+// loaded at that time. To spread their requests, engines of other cells are ranked in three classes only: at least half of the slots free,
+// fewer, or at most one. Engines of one class rank equal.
 std::uint64_t CapacityBoard::freeRank(const Engine& engine, Distance distance, TimePoint now) const
 {
     const std::uint32_t total = engine.total(now);
     const std::uint32_t slots = engine.entry_.slots_;
     if (distance == Distance::Near) {
-        // A run is about as fast beside one more of them, so an open connection goes before exact balance.
-        constexpr std::uint64_t steps = 4; // that an engine's slots are counted in
+        // One more request on an engine hardly slows down the others, so an open connection matters more than exact balance.
+        constexpr std::uint64_t steps = 4; // load levels that are distinguished before the connection counts
         constexpr std::uint64_t stepWeight = 1ULL << 16;
         const bool isConnected = hasConnection_ && hasConnection_(engine.entry_.at_);
         return (steps * total / std::max(1U, slots) * 2 + (isConnected ? 0 : 1)) * stepWeight + total;
@@ -134,7 +135,7 @@
     return free > 1 ? 1 : 2;
 }
 
-// ---- the line
+// ---- queued requests
 
 ServiceWaiting CapacityBoard::waitingAt(NodeId node, std::string_view service) const
 {
@@ -163,7 +164,7 @@
 
 std::uint32_t CapacityBoard::waitingInTime(std::string_view service) const { return allWaiting(service).inTime_; }
 
-// With n slots that turn over, one comes free each n-th part of a run, whoever waits for it.
+// With n slots that aren't held by items that can't be preempted, a slot becomes free after 1/n of the mean run time.
 Duration CapacityBoard::queueWait(std::string_view service, TimePoint now) const
 {
     std::uint32_t near = 0;
@@ -175,7 +176,7 @@
         all += turning;
         near += engine.entry_.cell_ == place_.cell_ ? turning : 0;
     }
-    // Slots of other cells go to those who wait there; their frees are heard too late here.
+    // The slots of other cells go to the requests queued there. This node learns too late that they are free.
     const std::uint32_t slots = near > 0 ? near : all;
     if (slots == 0)
         return neverWait;
@@ -187,8 +188,9 @@
     return queueWait(service, now) <= bound - settings_.firstEvent_;
 }
 
-// Failure met: after a loss of power everywhere engines go on with what they ran, and nobody counts it. Workers filled the slots that seemed free
-// at once, and the questions of the first seconds waited behind batch: of 2,900 in two seconds 310 were in aim.
+// After a power failure of all nodes the engines continue the work that they had, and no node counts it. Without the ramp, workers filled
+// the seemingly free slots with batch items at once, and the online requests of the first seconds waited behind batch: of 2,900 requests
+// in two seconds only 310 met their target latency.
 std::uint32_t CapacityBoard::reserveOf(const Engine& engine, bool urgent, TimePoint now) const
 {
     if (urgent)
@@ -225,13 +227,14 @@
     return count;
 }
 
-// Failure met: jobs are spread over workers by a hash, so one worker has two jobs and another eight. Each took slots for its own items in
-// turn; items due in ten seconds ran at one while items due in two waited at another, and a third of a burst of jobs came late
-// although the slots would have done for all. The guard: a node leaves as many free slots as more urgent items wait elsewhere.
+// Jobs are assigned to workers by a hash, so one worker may have two jobs and another eight. When each worker took slots for its own items
+// without regard to others, items due in ten seconds ran at one worker while items due in two seconds waited at another, and a third of a
+// burst of jobs was late although there were enough slots for all. So a node leaves as many slots free as more urgent items wait at other
+// nodes.
 EnginePick CapacityBoard::pickBatch(std::string_view service, bool urgent, TimePoint due, std::span<const UpstreamId> tried, TimePoint now)
 {
     dropSilent(now);
-    // Each slot that comes free is a waiting question's.
+    // The next free slot goes to a queued online request.
     if (!urgent && waiting(service) > 0)
         return {};
     const std::vector<Candidate> engines = candidates(service, true, tried, now);
--- a/libs/capacity/src/WaitingQueue.cpp
+++ b/libs/capacity/src/WaitingQueue.cpp
@@ -1,4 +1,4 @@
-// A node holds a handful of waiters, so a walk over all of them is what it costs.
+// A node has only a few queued requests, so each operation scans all of them.
 #include "capacity/WaitingQueue.h"
 
 #include <algorithm>
--- a/libs/capacity/tests/BurstTest.cpp
+++ b/libs/capacity/tests/BurstTest.cpp
@@ -1,9 +1,9 @@
-// A load that fills all slots for seconds, and how many questions have their first event in time.
+// Simulates bursts that need more slots than there are, and counts the online requests whose first event is in time.
 //
-// Pattern: questions come at random, for 2.4 s of each 6 s at 1.9 times the mean and at 0.39 times it in between, as callers of a shop do in
-// waves. They hold a slot for 0.75 s, give or take a quarter: answers of 32 events, 20 to 24 ms each with eight running. Eight slots an
-// engine; nine entries, whose reports are 2 ms on their way. Bursts ask for 1.15 times the slots there are: what is left when a sixth of the
-// engines is away. In time is a first event after 300 ms, 25 ms of which the engine takes.
+// Requests arrive at random, like waves of shop customers: for 2.4 s of each 6 s at 1.9 times the mean rate, and otherwise at 0.39 times
+// the mean rate. A request occupies its slot for 0.75 s on average, with a standard deviation of a quarter: an answer has 32 events, 20 to
+// 24 ms apart when eight requests run. There are eight slots per engine, and nine entries whose reports take 2 ms. The bursts need 1.15
+// times the existing slots, as when one engine in six has failed. A first event is in time within 300 ms, of which the engine needs 25 ms.
 #include "capacity/CapacityBoard.h"
 #include "capacity/WaitingQueue.h"
 
@@ -27,9 +27,9 @@
 constexpr Duration meanRun = 750ms;
 
 enum class Policy : std::uint8_t {
-    EngineQueue, // bound to the engine that is predicted to be soonest, where it waits in order of arrival
-    LineForItself, // waits at its entry for the first slot of any engine, late or not
-    Line, // waits so; one that is late lets those in time at other entries go first
+    EngineQueue, // the request is sent to the engine with the shortest predicted wait and is queued there in order of arrival
+    LineForItself, // it is queued at its entry for the first free slot of any engine, whether it is late or not
+    Line, // the same, but a late request yields to requests at other entries that can still be in time
 };
 
 struct Outcome {
@@ -171,7 +171,7 @@
         begin(engine.value() - 1);
     }
 
-    // An engine admits in order of arrival.
+    // Starts queued requests in order of arrival while the engine has free slots.
     void begin(std::size_t engine)
     {
         while (running_[engine] < slots && !queues_[engine].empty()) {
@@ -241,9 +241,9 @@
 
 } // namespace
 
-// A clerk's members call in waves, with some engines away. Sent to engines' queues, questions that were told 195 ms waited up to 435 ms behind
-// runs that had begun together, and half of them were late, while slots came free elsewhere.
-TEST_CASE("capacity: in bursts beyond the slots a line at the entries answers more in time than engines' queues")
+// Bursts arrive while some engines have failed. In the engines' queues, requests with a predicted wait of 195 ms waited up to 435 ms behind
+// runs that had started together. Half of them were late, while slots became free on other engines.
+TEST_CASE("capacity: in bursts that exceed the slots, queues at the entries answer more requests in time than the engines' queues")
 {
     Outcome queued;
     Outcome lined;
@@ -262,15 +262,15 @@
         lined.refused_ += other.refused_;
     }
     MESSAGE("engines' queues: in time " << queued.share() << ", late " << queued.late_ << ", refused " << queued.refused_ << " of " << queued.asked_);
-    MESSAGE("line: in time " << lined.share() << ", late " << lined.late_ << ", refused " << lined.refused_ << " of " << lined.asked_);
+    MESSAGE("queues at the entries: in time " << lined.share() << ", late " << lined.late_ << ", refused " << lined.refused_ << " of " << lined.asked_);
     CHECK(lined.share() > queued.share() + 0.02);
     CHECK(lined.late_ < queued.late_);
     CHECK(lined.refused_ < queued.refused_);
 }
 
-// In a burst nine entries have questions in line, some of them late. A late one took the slot that its own entry saw come free; at another entry one that
-// had 50 ms left became late by it. Each late answer cost another one its time.
-TEST_CASE("capacity: in bursts a question that is late doesn't take the slot of one that can be in time at another entry")
+// In a burst all nine entries have queued requests, some of them already late. When a late request took the slot that its own entry saw
+// become free, a request at another entry with 50 ms left became late too, so each late answer caused another one.
+TEST_CASE("capacity: in bursts a late request doesn't take the slot of a request at another entry that can still be in time")
 {
     int inTime = 0;
     int inTimeBehind = 0;
@@ -278,6 +278,6 @@
         inTime += Burst(Policy::LineForItself, seed).run(24s).inTime_;
         inTimeBehind += Burst(Policy::Line, seed).run(24s).inTime_;
     }
-    MESSAGE("in time: each entry for itself " << inTime << ", late ones behind " << inTimeBehind);
+    MESSAGE("in time: separate queues " << inTime << ", late requests yield to other entries " << inTimeBehind);
     CHECK(inTimeBehind > inTime);
 }
--- a/libs/capacity/tests/CapacityBoardTest.cpp
+++ b/libs/capacity/tests/CapacityBoardTest.cpp
@@ -1,4 +1,4 @@
-// Who gets which slot, by what the nodes tell each other.
+// Tests of the picks of a board, given the reports of other nodes.
 #include "capacity/CapacityBoard.h"
 
 #include <doctest/doctest.h>
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("capacity: a question goes to the emptiest engine by what all nodes run")
+TEST_CASE("capacity: an online request goes to the least loaded engine, counting the work of all nodes")
 {
     World world;
     world.hear(2, { use(1, 5), use(2, 1, 1) });
@@ -70,7 +70,7 @@
     CHECK(world.ask().engine_ == UpstreamId(3));
 }
 
-TEST_CASE("capacity: a later report replaces the one before, an older one changes nothing")
+TEST_CASE("capacity: a newer report replaces the last one, and an older one is ignored")
 {
     World world(1);
     world.hear(2, { use(1, 5) });
@@ -87,7 +87,7 @@
     CHECK(world.board_.useOf(UpstreamId(1)).questions_ == 0);
 }
 
-TEST_CASE("capacity: the work of a node that fell silent is forgotten")
+TEST_CASE("capacity: the work of a node that stops reporting is dropped")
 {
     World world(1);
     world.hear(2, { use(1, 8) });
@@ -96,7 +96,7 @@
     CHECK(world.ask().kind_ == PickKind::Free);
 }
 
-TEST_CASE("capacity: full engines: batch gives way first, then a free slot far, then a short wait")
+TEST_CASE("capacity: when engines are full, batch is preempted first, then a free slot of another region is used, then an engine's queue")
 {
     World world(2);
     world.board_.upsert(engine(9, far));
@@ -112,8 +112,9 @@
     CHECK(world.ask().engine_ == UpstreamId(2));
 }
 
-// A burst of more than there are slots: a question that can't begin in time is told so at once, with the time until one can.
-TEST_CASE("capacity: a question that can't begin in time gets no engine, and a time")
+// In a burst that needs more slots than there are, a request that can't start in time must be refused at once, together with the expected
+// time until the next free slot.
+TEST_CASE("capacity: an online request that can't start in time gets no engine but a predicted wait")
 {
     World world(2);
     world.hear(2, { use(1, 12), use(2, 11) });
@@ -122,7 +123,7 @@
     CHECK(pick.wait_ > Duration::zero());
 }
 
-TEST_CASE("capacity: batch takes no slot of the reserve unless it is urgent, and never queues")
+TEST_CASE("capacity: only urgent batch items take reserved slots, and none waits in an engine's queue")
 {
     World world(1);
     world.hear(2, { use(1, 6) });
@@ -134,8 +135,8 @@
     CHECK_FALSE(world.batch(true).isSome());
 }
 
-// Guards against a new connection for each second request where hosts and engines are many.
-TEST_CASE("capacity: among engines with about as much room one with an open connection goes first")
+// With many hosts and engines, picks that ignore open connections would set up a new connection for every second request.
+TEST_CASE("capacity: among engines with similar free capacity one with an open connection is preferred")
 {
     World world(3);
     const Endpoint known = parseEndpoint("10.0.0.2:80").value();
@@ -149,8 +150,8 @@
     CHECK(world.ask().engine_ != UpstreamId(2));
 }
 
-// Guards against batch that fills engines of which nobody knows what they still run, just after all processes lost their power.
-TEST_CASE("capacity: after a start batch gets the slots of engines little by little, and what is due at once")
+// After a power failure of all processes, engines may still run work that no node counts. Batch must not fill their slots at once.
+TEST_CASE("capacity: after a start, the slots for batch increase gradually, except for urgent items")
 {
     World world(1);
     world.board_.setStart(world.now_);
@@ -168,9 +169,9 @@
     CHECK(taken() == 3);
 }
 
-// Six questions a second meet an engine that resets each of them and answers its health check: empty as it always is, it would draw
-// every one. Callers see one answer in two lost while other engines stand idle.
-TEST_CASE("capacity: an engine that resets what it is sent doesn't draw questions because it is empty")
+// An engine that resets each request but passes its health check always looks idle. At six requests a second it would receive all of them,
+// and callers would lose every second answer while other engines have free slots.
+TEST_CASE("capacity: an engine that resets all requests doesn't attract online requests because it looks idle")
 {
     World world(3);
     world.hear(2, { use(1, 4), use(2, 4) });
@@ -189,11 +190,11 @@
             world.board_.succeeded(pick.engine_, world.now_);
         }
     }
-    // 19 s: at 0, 0.5, 1.5 s and so on, then each 6 s.
+    // In 19 s the engine is tested at 0 s, 0.5 s, 1.5 s and so on, later every 6 s.
     CHECK(lost <= 8);
 }
 
-TEST_CASE("capacity: the end of an older stream doesn't clear an engine that failed since")
+TEST_CASE("capacity: the success of a stream that began before the failure doesn't clear the engine")
 {
     World world(2);
     world.hear(2, { use(2, 3) });
@@ -203,14 +204,14 @@
     CHECK(world.ask(true).engine_ == UpstreamId(2));
     world.now_ += 600ms;
     world.board_.probed(UpstreamId(1));
-    // A question that can't be sent again isn't what an engine is tried with.
+    // A request that can't be repeated doesn't test an engine.
     CHECK(world.ask(false).engine_ == UpstreamId(2));
     CHECK(world.ask(true).engine_ == UpstreamId(1));
     world.board_.succeeded(UpstreamId(1), world.now_);
     CHECK(world.ask(false).engine_ == UpstreamId(1));
 }
 
-TEST_CASE("capacity: one node tries an engine that failed several, the others wait for it")
+TEST_CASE("capacity: of several nodes that report an engine as failing, only one tests it")
 {
     World second(2, NodeId(5));
     second.board_.failed(UpstreamId(1), EngineFault::Lost, second.now_);
@@ -223,7 +224,7 @@
     CHECK(second.ask(true).engine_ == UpstreamId(1));
 }
 
-TEST_CASE("capacity: an engine that others accuse is used when nothing else is left, or when it has just answered here")
+TEST_CASE("capacity: an engine that others report as failing is used when no other is left, or after a recent success at this node")
 {
     World world(2);
     world.hear(2, { use(2, 3) }, { UpstreamId(1) });
@@ -237,8 +238,9 @@
     CHECK(world.ask().engine_ == UpstreamId(1));
 }
 
-// Something between a node and its engines drops open connections. All its streams end in one moment, and all engines are well.
-TEST_CASE("capacity: when many engines lose a node's connections at once, none is blamed")
+// When the network between a node and its engines drops all open connections, the node's streams fail at the same moment although all
+// engines are healthy.
+TEST_CASE("capacity: simultaneous losses of connections to many engines aren't attributed to the engines")
 {
     World world(12);
     int blamed = 0;
@@ -248,7 +250,7 @@
     CHECK(world.ask().isSome());
 }
 
-TEST_CASE("capacity: an engine that leaves or refuses gets nothing new")
+TEST_CASE("capacity: an engine that drains or refuses requests as full gets no new ones")
 {
     World world(2);
     EngineEntry leaving = engine(1);
@@ -261,7 +263,7 @@
     CHECK(world.ask().engine_ == UpstreamId(2));
 }
 
-TEST_CASE("capacity: a question displaces no item that is due too soon, and waits behind those only")
+TEST_CASE("capacity: an online request preempts only items that aren't due too soon, and else waits in an engine's queue")
 {
     World world(2);
     world.hear(2, { use(1, 6, 2, 2), use(2, 7, 1) });
@@ -271,8 +273,9 @@
     CHECK(world.ask().kind_ == PickKind::Queues);
 }
 
-// All nodes restart at once. For a second none has heard of the others, and each sees the engines empty while their queues grow.
-TEST_CASE("capacity: what an engine says of its load counts where no node has reported it")
+// When all nodes restart at once, none has a report of the others for about a second, and each takes the engines for idle while the
+// engines' queues grow.
+TEST_CASE("capacity: the load that an engine reports itself is used where no node has reported it")
 {
     World world(2);
     world.board_.observed(UpstreamId(1), 8, 3, world.now_);
@@ -281,7 +284,7 @@
     world.now_ += 200ms;
     world.board_.started(UpstreamId(2), WorkClass::Question);
     CHECK(world.ask().engine_ == UpstreamId(1));
-    // One more than reported is the usual delay of reports.
+    // A difference of one request is normal, because node reports are delayed.
     world.hear(2, { use(1, 3) });
     world.board_.observed(UpstreamId(1), 4, 0, world.now_);
     CHECK(world.board_.useOf(UpstreamId(1)).questions_ == 3);
--- a/libs/capacity/tests/ItemOrderTest.cpp
+++ b/libs/capacity/tests/ItemOrderTest.cpp
@@ -1,9 +1,10 @@
-// Jobs that come in a bunch at one worker, and how many of their items are done in time.
+// Simulates several jobs that arrive at one worker at once, and counts the items that are done in time.
 //
-// Pattern: a job of ten items comes each 4 s to one of two workers, and each 30 s six at once to a third one, as a hash deals them out when
-// jobs are few and clerks begin their shift together. All are due after 18 s. For 2.4 s of each 5.8 s questions take all slots but two of
-// each engine, and a quarter of them in between. An item holds a slot for 4.7 s in all and goes on where it stopped. Together
-// they ask for four fifths of what the questions leave. Reports are 2 ms on their way.
+// A job of ten items arrives every 4 s at one of two workers, and every 30 s six jobs arrive at a third worker at once. A hash assigns jobs
+// this unevenly when there are few of them, and many arrive at once when users begin their shift together. All items are due after 18 s.
+// For 2.4 s of each 5.8 s online requests take all but two slots of each engine, and otherwise a quarter of the slots. An item needs a slot
+// for 4.7 s in total and, after a preemption, continues where it stopped. The items need four fifths of the slots that online requests
+// leave free. Reports take 2 ms.
 #include "base/Hash.h"
 #include "capacity/CapacityBoard.h"
 
@@ -29,7 +30,7 @@
 struct TestItem {
     TimePoint due_ {};
     Duration left_ = runTime;
-    UpstreamId engine_; // none while it waits
+    UpstreamId engine_; // none while it is queued
 };
 
 class Workers {
@@ -53,7 +54,7 @@
         items_.resize(workers);
     }
 
-    // The share of items that are done when they are due.
+    // Returns the fraction of items that are done when they are due.
     double run(Duration length)
     {
         const TimePoint end = now_ + length;
@@ -88,12 +89,12 @@
         }
     }
 
-    // Questions of one entry; those of the first moment of a burst take the slots of items.
+    // Reports the online requests of one entry; at the start of a burst they preempt items.
     void setQuestions()
     {
         const bool isBurst = (now_ - TimePoint()) % 5800ms < 2400ms;
         const std::uint16_t perEngine = isBurst ? slots - 2 : 2;
-        // A node tells again and again; one that falls silent counts as running nothing.
+        // The report is repeated, because the work of a node that stops reporting is dropped.
         if (perEngine == questions_ && now_ - questionsReportedAt_ < 500ms)
             return;
         questions_ = perEngine;
@@ -107,7 +108,7 @@
             giveWay(UpstreamId(engine + 1));
     }
 
-    // The items that are due last leave the engine until the questions fit.
+    // Preempts the items that are due last until the online requests fit on the engine.
     void giveWay(UpstreamId engine)
     {
         for (;;) {
@@ -235,9 +236,9 @@
 
 } // namespace
 
-// Clerks send six jobs that a hash gives to one worker of three. Its items wait for slots while items of the other workers run that are due
-// ten seconds later; the last of them come late, although there were slots for all.
-TEST_CASE("capacity: free slots go to the items due first, whichever worker has them")
+// A hash assigns six jobs that arrive together to one worker of three. Without an order among workers its items wait for slots while the
+// other workers run items that are due ten seconds later, and the last of them are late although there are enough slots for all.
+TEST_CASE("capacity: free slots go to the items that are due first, whichever worker they belong to")
 {
     double ordered = 0;
     double unordered = 0;
@@ -246,12 +247,12 @@
         unordered += Workers(false, seed).run(60s) / seeds;
         ordered += Workers(true, seed).run(60s) / seeds;
     }
-    MESSAGE("in time: each for itself " << unordered << ", those due first " << ordered);
+    MESSAGE("in time: no order among workers " << unordered << ", earliest due time first " << ordered);
     CHECK(ordered > unordered + 0.02);
     CHECK(ordered > 0.9);
 }
 
-TEST_CASE("capacity: an item leaves as many free slots as more urgent ones wait elsewhere")
+TEST_CASE("capacity: an item leaves one slot free for each more urgent item that waits at another node")
 {
     CapacityBoard board({}, NodeId(1), { CellId(1), RegionId(1), FailureDomainId(1) }, 1);
     EngineEntry engine;
@@ -272,12 +273,12 @@
         board.heard(use, now);
     };
     const TimePoint later = now + 9s;
-    hear(2, 0, 1); // three slots beside the reserve
+    hear(2, 0, 1); // three slots are free besides the reserve
     CHECK(board.pickBatch("s", false, later, {}, now).isSome());
     hear(3, 0, 2);
     CHECK_FALSE(board.pickBatch("s", false, later, {}, now).isSome());
     CHECK(board.pickBatch("s", false, now + 4s, {}, now).isSome());
-    // Its slot is given up only when the other one finds none, and needs it far more.
+    // A running item yields its slot only when the other items find too few free slots and are due much earlier.
     CHECK_FALSE(board.mustCedeItem("s", later, now));
     hear(3, 2, 3);
     CHECK(board.mustCedeItem("s", later, now));
--- a/libs/capacity/tests/ReturnTest.cpp
+++ b/libs/capacity/tests/ReturnTest.cpp
@@ -1,8 +1,9 @@
-// Callers who are refused in a burst and come back once, and how many of them are served in the end.
+// Simulates callers that are refused in a burst and retry once, and counts how many of them are served in the end.
 //
-// Pattern: questions at random, for 2.4 s of each 5.8 s at 1.9 times the mean and at 0.38 times it in between; the bursts ask for 1.4 times the
-// slots there are, and some room is left between them. A question holds its slot for 0.75 s, give or take a quarter. Its first
-// event is due 300 ms after each attempt. A caller waits 5 s in all, heeds at most a third of what is left of it, and comes back once.
+// Requests arrive at random: for 2.4 s of each 5.8 s at 1.9 times the mean rate, and otherwise at 0.38 times the mean rate. The bursts need
+// 1.4 times the existing slots, and some slots are free between bursts. A request occupies its slot for 0.75 s on average, with a standard
+// deviation of a quarter. The first event is in time within 300 ms of each attempt. A caller allows 5 s in total, waits at most a third of
+// the remaining time before its retry, and retries once.
 #include "capacity/CallerPatience.h"
 #include "capacity/CapacityBoard.h"
 #include "capacity/FullPhases.h"
@@ -27,15 +28,15 @@
 constexpr RegionId region { 1 };
 
 enum class Policy : std::uint8_t {
-    SoonAgain, // back when one slot is expected to be free; each attempt is as good as another
-    BehindTheBurst, // back when the full phase is over; who comes back is kept, be it late
+    SoonAgain, // the caller retries when one slot is expected to be free, and retries are treated like first attempts
+    BehindTheBurst, // the caller retries after the overload, and retries are queued even if they will be late
 };
 
 struct Outcome {
     int asked_ = 0;
-    int inTime_ = 0; // of its first or of its second attempt
+    int inTime_ = 0; // at the first or at the second attempt
     int late_ = 0;
-    int refused_ = 0; // for good
+    int refused_ = 0; // at both attempts
 };
 
 class Callers {
@@ -79,8 +80,8 @@
 
 private:
     struct Question {
-        TimePoint first_ {}; // its caller's first attempt
-        TimePoint arrived_ {}; // this attempt
+        TimePoint first_ {}; // arrival of the caller's first attempt
+        TimePoint arrived_ {}; // arrival of this attempt
         bool isSecond_ = false;
     };
 
@@ -177,9 +178,9 @@
 
 } // namespace
 
-// A caller is refused in a burst and told 0.3 s: it comes back into the same burst, is refused again and gives up, while a second later half of the
-// slots are free. One in seven callers went without an answer.
-TEST_CASE("capacity: callers who are refused in a burst come back behind it and are served")
+// A caller that is refused in a burst with a retry delay of 0.3 s retries in the same burst, is refused again and gives up, while a second
+// later half of the slots are free. One caller in seven got no answer that way.
+TEST_CASE("capacity: callers that are refused in a burst retry after it and are served")
 {
     Outcome soon;
     Outcome behind;
@@ -194,22 +195,22 @@
         behind.refused_ += other.refused_;
     }
     const auto part = [](int count, const Outcome& of) { return static_cast<double>(count) / of.asked_; };
-    MESSAGE("soon again: in time " << part(soon.inTime_, soon) << ", refused for good " << part(soon.refused_, soon));
-    MESSAGE("behind the burst: in time " << part(behind.inTime_, behind) << ", refused for good " << part(behind.refused_, behind));
+    MESSAGE("retry when a slot is free: in time " << part(soon.inTime_, soon) << ", refused twice " << part(soon.refused_, soon));
+    MESSAGE("retry after the burst: in time " << part(behind.inTime_, behind) << ", refused twice " << part(behind.refused_, behind));
     CHECK(part(behind.refused_, behind) < 0.01);
     CHECK(part(soon.refused_, soon) > 0.04);
     CHECK(part(behind.inTime_, behind) > part(soon.inTime_, soon));
 }
 
-TEST_CASE("capacity: who gives less time than others of its route has been here before")
+TEST_CASE("capacity: a request that allows less time than others of its route is taken for a retry")
 {
     CallerPatience patience;
     const TimePoint now { 10s };
     CHECK_FALSE(patience.hasReturned("r", 5s, now));
-    CHECK_FALSE(patience.hasReturned("r", 4980ms, now)); // on its way for longer
+    CHECK_FALSE(patience.hasReturned("r", 4980ms, now)); // it took longer on the network
     CHECK(patience.hasReturned("r", 3500ms, now));
     CHECK_FALSE(patience.hasReturned("other", 3500ms, now));
-    // Callers give less time from now on; that is known when nobody has given more for a while.
+    // From now on callers allow less time. This is detected when no request has allowed more for a while.
     CHECK(patience.hasReturned("r", 3s, now + 5s));
     CHECK_FALSE(patience.hasReturned("r", 3s, now + 20s));
     CHECK_FALSE(patience.hasReturned("r", 3s, now + 21s));
--- a/libs/capacity/tests/WaitingQueueTest.cpp
+++ b/libs/capacity/tests/WaitingQueueTest.cpp
@@ -1,4 +1,4 @@
-// Who goes first, how long a line is, and when a refused caller comes back.
+// Tests of the order of queued requests, of the predicted wait, and of the time until a refused caller retries.
 #include "capacity/WaitingQueue.h"
 #include "capacity/CapacityBoard.h"
 #include "capacity/FullPhases.h"
@@ -9,7 +9,7 @@
 
 using namespace jj;
 
-TEST_CASE("capacity: the oldest question that can be in time goes first, late ones after all that can")
+TEST_CASE("capacity: the oldest request that can be in time goes first, and late ones go after all of these")
 {
     WaitingQueue line;
     const TimePoint start { 10s };
@@ -29,7 +29,7 @@
     CHECK(line.services() == std::vector<std::string> { "s", "t" });
 }
 
-TEST_CASE("capacity: a question whose time in line is over is named until it leaves")
+TEST_CASE("capacity: a request is reported as expired until it is removed from the queue")
 {
     WaitingQueue line;
     const TimePoint start { 10s };
@@ -76,9 +76,9 @@
 
 } // namespace
 
-// Four nodes of a region share eight slots, each of which turns over in 800 ms. Who lines up behind seven others waits for eight slots to
-// come free, 100 ms each; those who wait in the other region have slots of their own.
-TEST_CASE("capacity: a line's wait follows from all that wait in the region and the slots that turn over there")
+// The nodes of a cell share eight slots, each of which is occupied for 800 ms, so a slot becomes free every 100 ms. A request behind seven
+// others waits for the eighth free slot. Requests that are queued in the other cell have slots of their own and don't count.
+TEST_CASE("capacity: the predicted wait depends on the queued requests and the slots of the own cell")
 {
     CapacityBoard board = boardWith(8, 80);
     const TimePoint now { 10s };
@@ -99,7 +99,7 @@
     CHECK(board.queueWait("unknown", now) >= 1h);
 }
 
-TEST_CASE("capacity: batch leaves free slots to questions that wait, unless it is due")
+TEST_CASE("capacity: batch leaves free slots to queued online requests unless it is urgent")
 {
     CapacityBoard board = boardWith(8, 8);
     const TimePoint now { 10s };
@@ -109,9 +109,9 @@
     CHECK(board.pickBatch("s", true, now + 10s, {}, now).isSome());
 }
 
-// Six questions of another node are late already and wait for what is left. One that comes now goes before them, so it is told a wait of one slot
-// and not of seven, and isn't refused.
-TEST_CASE("capacity: questions that are late already don't lengthen the wait of those that can be in time")
+// Six queued requests of another node are already late. A new request goes before them, so its predicted wait is that for one slot and not
+// for seven, and it isn't refused.
+TEST_CASE("capacity: queued requests that are already late don't lengthen the wait of those that can be in time")
 {
     CapacityBoard board = boardWith(8, 80);
     const TimePoint now { 10s };
@@ -128,9 +128,9 @@
     CHECK(line.first("s", now) == fresh);
 }
 
-// Bursts of some 2 s, 4 s apart. From the second one on a caller who is refused is told to come back into the middle of the pause behind the
-// burst: at its end he would meet all others who were refused, and its last runs.
-TEST_CASE("capacity: a refused caller comes back when the burst is usually over")
+// Bursts last about 2 s, and 4 s pass between two of them. From the second burst on, a refused caller is to retry in the middle of the
+// pause after the burst: right at the end of the burst it would compete with all other refused callers and with the last runs.
+TEST_CASE("capacity: a refused caller retries when the burst is usually over")
 {
     FullPhases phases;
     TimePoint now { 10s };
@@ -140,7 +140,7 @@
             phases.refused(now);
     };
     burst(2s);
-    CHECK(phases.remaining(now) >= 400ms); // the first one: it may go on for a part of what it has lasted
+    CHECK(phases.remaining(now) >= 400ms); // the first burst is expected to last for another quarter of its length so far
     now += 4s;
     CHECK(phases.remaining(now) == Duration::zero());
     phases.refused(now);
--- a/libs/routes/include/routes/RouteTable.h
+++ b/libs/routes/include/routes/RouteTable.h
@@ -1,10 +1,10 @@
-// The routes of one configuration version: which service answers a request that is passed through, and under which terms.
+// The routes of one configuration version: which service answers a relayed request, and with which limits and time targets.
 //
 //     auto table = RouteTable::create(std::move(config));
 //     if (!table) return table.error();
 //     if (const Route* route = table.value().select("shop.example", "/ask/17")) ...
 //
-// A table is immutable. Pointers into it live as long as the table does.
+// A table is immutable. Pointers into it are valid as long as the table exists.
 #pragma once
 
 #include "base/Result.h"
@@ -22,19 +22,19 @@
 
 enum class RouteError : int {
     BadPrefix = 1, // a path prefix doesn't begin and end with a slash
-    NoTarget, // a route without a service, or whose weights are all zero
-    UnknownService, // a route names a service that the configuration doesn't have
-    DuplicateService,
+    NoTarget, // a route has no service, or the weights of its services are all zero
+    UnknownService, // a route names a service that isn't in the configuration
+    DuplicateService, // two services have the same name
 };
 
 std::error_code make_error_code(RouteError error);
 
-// What may be repeated, and what the answer looks like.
+// How often a request of the route may run, and the form of its answer.
 enum class RouteKind : std::uint8_t {
     Idempotent, // may run more than once
-    NonIdempotent, // runs at most once for each attempt of a caller
-    Streaming, // a stream of events; at most once unless the route is resumable
-    Batch, // jobs of many items
+    NonIdempotent, // runs at most once per attempt of the caller
+    Streaming, // answers with a stream of events; runs at most once unless the route is resumable
+    Batch, // accepts jobs of many items
 };
 
 struct RouteTarget {
@@ -47,27 +47,27 @@
     std::string host_;
     std::string pathPrefix_; // begins and ends with '/'
     RouteKind kind_ = RouteKind::Idempotent;
-    Duration timeout_ = 30s; // the longest that a caller is kept waiting
-    Duration targetLatency_ = 1s; // an answer within it is in time; for streams: its first event; for jobs: the acknowledgement
-    Duration longestGap_ = 0s; // between events of a stream that is in time; zero: not stated
+    Duration timeout_ = 30s; // the longest time that a caller waits for the answer
+    Duration targetLatency_ = 1s; // until the answer; for streams until the first event; for jobs until the acknowledgement
+    Duration longestGap_ = 0s; // the target for the time between two events of a stream; zero: no target
     std::uint32_t priority_ = 0; // 0 is the most urgent
-    std::uint32_t maxAttempts_ = 1; // engines that one attempt of a caller may run on
-    bool resumable_ = false; // a stream may go on at another engine after its last event
+    std::uint32_t maxAttempts_ = 1; // engines on which one attempt of a caller may run
+    bool resumable_ = false; // another engine can continue a stream after the last event that was sent
     std::vector<RouteTarget> targets_; // never empty, weights not all zero
-    Duration runTarget_ = 0s; // jobs: from submission until all results are due
-    Duration abandonAfter_ = 0s; // jobs: from submission until an item may be given up
+    Duration runTarget_ = 0s; // for jobs: from submission until all results are due
+    Duration abandonAfter_ = 0s; // for jobs: from submission until an item may be abandoned
 
-    // May a request whose outcome is unknown be sent to another engine?
+    // Returns whether a request whose outcome is unknown may be sent to another engine.
     bool isRepeatable() const { return kind_ == RouteKind::Idempotent || kind_ == RouteKind::Batch || (kind_ == RouteKind::Streaming && resumable_); }
 };
 
 struct ServiceTerms {
     std::string name_;
     std::string healthPath_;
-    std::uint32_t maxConnections_ = 64; // that one of its engines accepts from all callers together
+    std::uint32_t maxConnections_ = 64; // accepted by one engine of the service, from all callers together
 };
 
-// What callers may send, and how long they may take.
+// Limits on the size of requests and on the time that callers take to send them.
 struct CallerLimits {
     std::size_t headerBytes_ = 16 * 1024;
     std::size_t bodyBytes_ = 4 * 1024 * 1024;
@@ -76,7 +76,7 @@
 };
 
 struct RouteConfig {
-    std::uint64_t version_ = 0; // grows with each configuration, in uneven steps
+    std::uint64_t version_ = 0; // increases with each configuration, not necessarily by one
     std::vector<Route> routes_;
     std::vector<ServiceTerms> services_;
     CallerLimits limits_;
@@ -90,16 +90,16 @@
     const CallerLimits& limits() const { return config_.limits_; }
     const std::vector<Route>& routes() const { return config_.routes_; }
 
-    // The route of the host with the longest prefix that begins the path; null when there is none. `host` may carry a port;
-    // `target` may carry a query, which counts for nothing.
+    // Returns the route of the host with the longest prefix of the path, or null when no route matches. `host` may include a port.
+    // `target` may include a query, which is ignored.
     const Route* select(std::string_view host, std::string_view target) const;
-    // The route of the host that carries jobs; null when there is none or the host has several with different services.
+    // Returns the batch route of the host with the longest prefix, or null when the host has no batch route.
     const Route* batchRouteOf(std::string_view host) const;
     const Route* byName(std::string_view name) const;
     const ServiceTerms* service(std::string_view name) const;
 
-    // One of the route's services, by weight. `draw` is any number that differs from request to request; the same number gives
-    // the same service.
+    // Picks one of the route's services by weight. `draw` is any number that varies between requests; the same number always gives the
+    // same service.
     static const std::string& pickService(const Route& route, std::uint64_t draw);
 
 private:
@@ -107,11 +107,11 @@
     void index();
 
     RouteConfig config_;
-    // Invariant: of each host, the places in config_.routes_, longest prefix first.
+    // Invariant: for each host, the indexes of its routes in config_.routes_, longest prefix first.
     std::unordered_map<std::string, std::vector<std::size_t>> byHost_;
 };
 
-// The host of a Host header, without its port, in lower case.
+// Returns the host name of a Host header in lower case, without the port.
 std::string hostName(std::string_view hostHeader);
 
 } // namespace jj
--- a/libs/routes/src/RouteTable.cpp
+++ b/libs/routes/src/RouteTable.cpp
@@ -1,4 +1,4 @@
-// Checks a configuration once, so that looking up a request can't fail later.
+// Validates a configuration when the table is created, so that later lookups can't meet an invalid route.
 #include "routes/RouteTable.h"
 
 #include <algorithm>
@@ -18,11 +18,11 @@
             case RouteError::BadPrefix:
                 return "a path prefix must begin and end with a slash";
             case RouteError::NoTarget:
-                return "a route needs a service with a weight over zero";
+                return "a route needs at least one service with a weight above zero";
             case RouteError::UnknownService:
-                return "no service of this name";
+                return "the configuration has no service with this name";
             case RouteError::DuplicateService:
-                return "a service stands twice";
+                return "two services have the same name";
             }
             return "unknown error";
         }
--- a/libs/routes/tests/RouteTableTest.cpp
+++ b/libs/routes/tests/RouteTableTest.cpp
@@ -1,4 +1,4 @@
-// Which route answers, and which configurations are refused.
+// Tests of route selection, and of the configurations that are rejected.
 #include "routes/RouteTable.h"
 
 #include <doctest/doctest.h>
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("routes: the longest prefix of the host answers")
+TEST_CASE("routes: the route with the longest matching prefix of the host is selected")
 {
     const auto table = RouteTable::create(configOf({ routeOf("short", "a.example", "/ask/"), routeOf("long", "a.example", "/ask/deep/"), routeOf("other", "b.example", "/") }));
     REQUIRE(table.has_value());
@@ -38,7 +38,7 @@
     CHECK(table.value().select("b.example", "/ask/deep/1")->name_ == "other");
 }
 
-TEST_CASE("routes: a path that only shares letters with a prefix has no route")
+TEST_CASE("routes: a prefix matches whole path segments only, and not the query")
 {
     const auto table = RouteTable::create(configOf({ routeOf("r", "a.example", "/ask/") }));
     CHECK(table.value().select("a.example", "/asking/1") == nullptr);
@@ -47,7 +47,7 @@
     CHECK(table.value().select("c.example", "/ask/1") == nullptr);
 }
 
-TEST_CASE("routes: services are drawn by weight, a weight of zero never")
+TEST_CASE("routes: services are picked by weight, and never with a weight of zero")
 {
     const Route route = routeOf("r", "a.example", "/", { { "chat", 3 }, { "chat-next", 1 }, { "never", 0 } });
     int next = 0;
@@ -59,7 +59,7 @@
     CHECK(next == 100);
 }
 
-TEST_CASE("routes: a configuration that can't be used is refused as a whole, with the route's name")
+TEST_CASE("routes: an invalid configuration is rejected as a whole, with the name of the route in the error")
 {
     CHECK(RouteTable::create(configOf({ routeOf("r", "a", "ask/") })).error().code_ == RouteError::BadPrefix);
     CHECK(RouteTable::create(configOf({ routeOf("r", "a", "/", { { "chat", 0 } }) })).error().code_ == RouteError::NoTarget);
@@ -68,7 +68,7 @@
     CHECK(unknown.error().detail_ == "r: gone");
 }
 
-TEST_CASE("routes: what may be repeated follows from kind and resumable alone")
+TEST_CASE("routes: whether a request is repeatable depends on the route's kind and its resumable flag only")
 {
     Route route = routeOf("r", "a", "/");
     route.kind_ = RouteKind::Streaming;
