--- a/libs/capacity/include/capacity/CallerPatience.h
+++ b/libs/capacity/include/capacity/CallerPatience.h
@@ -1,6 +1,6 @@
 // Detects retries of refused requests by the time that the caller still allows for the answer.
 //
-//     if (detector.hasReturned(route, timeLeft, now)) ...      // the caller gives up after another refusal
+//     if (detector.isProbableRetry(route, timeLeft, now)) ...      // the caller gives up after another refusal
 //
 // A request doesn't say that it is a retry, and a retry usually reaches another node than the first attempt. But most callers of a route
 // allow the same time for a first attempt, and a retry allows only what is left of it. So the longest time that recent requests of the
@@ -35,6 +35,7 @@
     static constexpr Duration leastAbsence = std::chrono::milliseconds(120);
     // When callers begin to allow less time, the longer time of earlier requests is dropped after this delay.
     static constexpr Duration forgottenAfter = std::chrono::seconds(10);
+    // Limits the memory: when there are so many routes, all records are dropped.
     static constexpr std::size_t mostRoutes = 1024;
 
     struct Longest {
--- a/libs/capacity/include/capacity/CapacityBoard.h
+++ b/libs/capacity/include/capacity/CapacityBoard.h
@@ -17,11 +17,12 @@
 //   - It never sends a batch item to an engine without a free slot.
 //
 // A faulty engine may reset each request and still pass its health check. It has nothing running and looks idle, so without further
-// measures it would receive most online requests and fail them all. Neither a passed health check nor the end of an older stream proves
-// that it works again. So the board backs off from an engine that failed, for longer after each failure. After the backoff a single node
-// tests the engine, with one request at a time that can be sent to another engine if this one fails. Until such a request succeeds, the
-// node reports the engine as failing, and other nodes use it only when no other engine is left. When many engines lose connections of one
-// node within a moment, the node's own network is the likelier cause, and the failures aren't attributed to the engines.
+// measures it would receive most online requests and fail them all. The symptom is one engine with far more arrivals than the others, and
+// with failures in a row. Neither a passed health check nor the end of an older stream proves that it works again. So the board backs off
+// from an engine that failed, for longer after each failure. After the backoff a single node tests the engine, with one request at a time
+// that can be sent to another engine if this one fails. Until such a request succeeds, the node reports the engine as failing, and other
+// nodes use it only when no other engine is left. When many engines lose connections of one node within a moment, the node's own network
+// is the likelier cause, and the failures aren't attributed to the engines.
 //
 // Two nodes that pick in the same millisecond may both take the last slot of an engine; the second request then waits in the engine until
 // a slot is free.
@@ -69,7 +70,8 @@
 struct EnginePick {
     PickKind kind_ = PickKind::None;
     UpstreamId engine_;
-    Duration wait_ {}; // predicted delay until the request starts; for None: until the first slot is expected to be free
+    // Predicted delay until the request starts. For None: until the first slot is expected to be free, at most the bound of the request.
+    Duration wait_ {};
 
     bool isSome() const { return kind_ != PickKind::None; }
 };
@@ -83,8 +85,8 @@
 struct CapacitySettings {
     // The work of a node that sent no report for this long is dropped: four reports in a row were lost, or the node has stopped.
     Duration reportTimeout_ = 2s;
-    // Slots of each engine that batch items leave free for the online requests of the next milliseconds. Measured with bursts of 1.9 times
-    // the mean load, at three quarters of the slots in use.
+    // Slots of each engine that batch items leave free for the online requests of the next milliseconds. Sized for bursts of 1.9 times the
+    // mean load, at three quarters of the slots in use.
     std::uint32_t batchReserve_ = 1;
     // After a power failure, engines may still run work of processes that no longer exist, and no node counts it. So a node that has just
     // started raises the number of slots that batch may use gradually over this time.
@@ -98,12 +100,12 @@
     // least leastUnheard_ requests: node reports are a millisecond or two old, so a difference of one request is normal.
     Duration loadFresh_ = 150ms;
     std::uint32_t leastUnheard_ = 2;
-    // Backoff after the first failure of an engine; it doubles with each further failure, up to longestShun_.
+    // Backoff at the lowest failure score that causes one. It doubles with each further failure, up to longestShun_.
     Duration firstShun_ = 500ms;
     Duration longestShun_ = 6s;
     // Half-life of the failure score. A success doesn't reset the score, so an engine that fails four requests in ten keeps a high score.
     Duration failureHalfLife_ = 4s;
-    // An answer that this node got from an engine within this time outweighs the reports of other nodes that the engine fails.
+    // A request of this node that succeeded on an engine within this time outweighs the reports of other nodes that the engine is failing.
     Duration freshSuccess_ = 1s;
     // When more than this fraction of a service's engines, and more than three, lose connections of this node within sharedFault_,
     // the failures are attributed to the node or the network.
@@ -280,7 +282,8 @@
     bool isUnknown(const Engine& engine, TimePoint now) const;
     // Returns whether online requests for the service are queued in the engine's own cell.
     bool isWantedThere(const Engine& engine, ServiceId service) const;
-    // Returns the usable engines of the service in random order. Engines that may fail or be full are included only if there are no others.
+    // Returns the usable engines of the service in random order. Engines that other nodes report as failing, and engines with unknown load,
+    // are returned only if there are no others.
     std::vector<Candidate> candidates(std::string_view service, bool repeatable, std::span<const UpstreamId> tried, TimePoint now);
     // Predicts how long an online request would wait in the engine's own queue.
     Duration engineWait(const Engine& engine, TimePoint now) const;
@@ -296,7 +299,7 @@
     std::uint32_t itemsDueBefore(std::string_view service, TimePoint due) const;
     // Returns whether the engine may get a request now; one that failed may get one only as a test.
     bool isUsable(const Engine& engine, bool repeatable, TimePoint now) const;
-    // Returns whether others report the engine as failing and this node has had no recent answer from it.
+    // Returns whether others report the engine as failing while this node has neither a failure nor a recent success of its own on it.
     bool isDoubtful(const Engine& engine, TimePoint now) const;
     // Returns whether this node is the one that tests the engine.
     bool isTester(const Engine& engine) const;
--- a/libs/capacity/include/capacity/FullPhases.h
+++ b/libs/capacity/include/capacity/FullPhases.h
@@ -1,7 +1,7 @@
 // Predicts how long a service stays overloaded, from its earlier overload periods, so that a refused caller knows when to retry.
 //
-//     phases.refused(now);
-//     const Duration wait = phases.remaining(now);
+//     predictor.refused(now);
+//     const Duration delay = predictor.retryDelay(now);
 //
 // The prediction is made for load that comes in repeated bursts of some seconds each, with free capacity between them. A caller that
 // retries as soon as one slot is expected to be free arrives in the same burst, is refused again and gives up. A caller that retries at
@@ -28,7 +28,8 @@
         lastRefusal_ = now;
     }
 
-    // Returns the expected time until the service has free slots again; zero when it isn't overloaded.
+    // Returns after which time a refused caller is to retry: the expected rest of the overload and half of the usual pause after it; zero
+    // when the service isn't overloaded.
     Duration remaining(TimePoint now) const
     {
         if (!isFull_ || now - lastRefusal_ > quiet)
--- a/libs/capacity/include/capacity/NodeUse.h
+++ b/libs/capacity/include/capacity/NodeUse.h
@@ -36,7 +36,7 @@
     friend bool operator==(const ServiceWaiting&, const ServiceWaiting&) = default;
 };
 
-// The batch items of a service that are queued at a node until a slot is free and can still be done when they are due.
+// The batch items of a service that are queued at a node until a slot is free and can still be done in time.
 struct ItemsWaiting {
     ServiceId service_;
     std::uint16_t count_ = 0;
@@ -59,7 +59,7 @@
 // The report of a cell to other cells: the sum of the reports of its nodes.
 struct CellUse {
     CellId cell_;
-    NodeId delegate_; // the node that computes the sum and forwards requests to the other nodes of the cell
+    NodeId delegate_; // the node that computes the sum, and that forwards preemption requests to the other nodes of the cell
     std::vector<EngineUse> uses_; // only engines with work of the cell
     std::vector<UpstreamId> shunned_; // engines that fail for several of its nodes, or for its only node
     std::vector<ServiceWaiting> waiting_;
--- a/libs/capacity/include/capacity/WaitingQueue.h
+++ b/libs/capacity/include/capacity/WaitingQueue.h
@@ -30,7 +30,7 @@
 class WaitingQueue {
 public:
     // Adds a request. `inTimeUntil`: the latest time to send it so that its first event meets the target latency. `keepUntil`: the time
-    // after which the request is expired.
+    // after which the request is expired, because waiting longer would be of no use.
     QueueTicket enter(std::string_view service, TimePoint inTimeUntil, TimePoint keepUntil);
     void leave(QueueTicket ticket);
     // Returns the request that gets the next free slot of the service; none when the queue has no request for it.
--- a/libs/capacity/src/CapacityAnswers.cpp
+++ b/libs/capacity/src/CapacityAnswers.cpp
@@ -43,6 +43,7 @@
     // All streams of an engine end when it crashes; they count as one failure.
     if (one.isOnTrial_ && now < one.shunnedUntil_)
         return one.shunnedUntil_ - now;
+    // In the order of EngineFault. An error answer counts half, because the request itself may be its cause.
     constexpr double weights[] = { 1, 1, 0.5 };
     const Duration since = std::max<Duration>(now - one.strikesAt_, Duration::zero());
     const double faded = std::exp2(-toSeconds(since) / toSeconds(settings_.failureHalfLife_));
--- a/libs/capacity/src/CapacityBoard.cpp
+++ b/libs/capacity/src/CapacityBoard.cpp
@@ -11,7 +11,7 @@
 
     // Weight of a new measurement in the moving average of the time that an online request occupies its slot.
     constexpr double meanGain = 0.05;
-    // Well under CapacitySettings::reportTimeout_.
+    // Well under CapacitySettings::reportTimeout_, so that reports are dropped soon after it without a check at each pick.
     constexpr Duration silentCheckPeriod = 100ms;
 
 } // namespace
--- a/libs/capacity/src/CapacityPicks.cpp
+++ b/libs/capacity/src/CapacityPicks.cpp
@@ -18,7 +18,8 @@
 
 // ---- picks
 
-// Only the node with the lowest id among those that report the engine as failing tests it. If each of them did, each would lose a request.
+// Only the node with the lowest id among those that report the engine as failing tests it. If each of them did, each would lose a request
+// for the same result.
 bool CapacityBoard::isTester(const Engine& engine) const
 {
     return engine.accusers_.empty() || self_ < *engine.accusers_.begin();
@@ -164,7 +165,7 @@
 
 std::uint32_t CapacityBoard::waitingInTime(std::string_view service) const { return allWaiting(service).inTime_; }
 
-// With n slots that aren't held by items that can't be preempted, a slot becomes free after 1/n of the mean run time.
+// With n slots that online requests can use, a slot becomes free after 1/n of the mean run time. Non-preemptible items keep theirs.
 Duration CapacityBoard::queueWait(std::string_view service, TimePoint now) const
 {
     std::uint32_t near = 0;
@@ -176,7 +177,8 @@
         all += turning;
         near += engine.entry_.cell_ == place_.cell_ ? turning : 0;
     }
-    // The slots of other cells go to the requests queued there. This node learns too late that they are free.
+    // The slots of other cells go to the requests queued there, and this node learns too late that they are free. So they count only when
+    // this cell has none.
     const std::uint32_t slots = near > 0 ? near : all;
     if (slots == 0)
         return neverWait;
--- a/libs/capacity/tests/BurstTest.cpp
+++ b/libs/capacity/tests/BurstTest.cpp
@@ -1,9 +1,13 @@
 // Simulates bursts that need more slots than there are, and counts the online requests whose first event is in time.
 //
-// Requests arrive at random, like waves of shop customers: for 2.4 s of each 6 s at 1.9 times the mean rate, and otherwise at 0.39 times
-// the mean rate. A request occupies its slot for 0.75 s on average, with a standard deviation of a quarter: an answer has 32 events, 20 to
-// 24 ms apart when eight requests run. There are eight slots per engine, and nine entries whose reports take 2 ms. The bursts need 1.15
-// times the existing slots, as when one engine in six has failed. A first event is in time within 300 ms, of which the engine needs 25 ms.
+// Requests arrive at random and in waves, like calls from the customers of a shop: for 2.4 s of each 6 s at 1.9 times the mean rate, and
+// otherwise at 0.39 times the mean rate. A request occupies its slot for 0.75 s on average, with a standard deviation of a quarter of that:
+// an answer has 32 events, 20 to 24 ms apart when eight requests run. There are eight slots per engine, and nine entries whose reports take
+// 2 ms. The bursts need 1.15 times the existing slots, as when one engine in six has failed. A first event is in time within 300 ms, of
+// which the engine needs 25 ms.
+//
+// Several entries that see a slot become free shouldn't all send a request to it. So the entries have an order for each engine, which
+// differs between engines, and an entry waits for turnStep per entry ahead of it before it uses the slot.
 #include "capacity/CapacityBoard.h"
 #include "capacity/WaitingQueue.h"
 
@@ -120,6 +124,8 @@
         tell(entry);
     }
 
+    // Sends queued requests of the entry to free slots. `isOwnTurn`: the entry has waited for the entries ahead of it, or one of its own
+    // runs has ended. It then uses the slot at once, except for a late request that yields to requests at other entries.
     void serve(std::size_t entry, bool isOwnTurn)
     {
         CapacityBoard& board = *boards_[entry];
@@ -142,6 +148,8 @@
         }
     }
 
+    // Returns how many entries with queued requests are ahead of this one in the order for the engine. `yieldsToOthers`: all entries with
+    // requests that can still be in time count as ahead.
     std::size_t entriesAhead(std::size_t entry, UpstreamId engine, bool standsBack)
     {
         std::size_t ahead = 0;
--- a/libs/capacity/tests/CapacityBoardTest.cpp
+++ b/libs/capacity/tests/CapacityBoardTest.cpp
@@ -114,7 +114,7 @@
 
 // In a burst that needs more slots than there are, a request that can't start in time must be refused at once, together with the expected
 // time until the next free slot.
-TEST_CASE("capacity: an online request that can't start in time gets no engine but a predicted wait")
+TEST_CASE("capacity: an online request that can't start in time gets no engine, and the predicted wait for a slot")
 {
     World world(2);
     world.hear(2, { use(1, 12), use(2, 11) });
@@ -169,8 +169,8 @@
     CHECK(taken() == 3);
 }
 
-// An engine that resets each request but passes its health check always looks idle. At six requests a second it would receive all of them,
-// and callers would lose every second answer while other engines have free slots.
+// An engine that resets each request but passes its health check always looks idle, so it would be the first choice for all of the six
+// requests per second. Callers lose one answer in two that way while other engines have free slots.
 TEST_CASE("capacity: an engine that resets all requests doesn't attract online requests because it looks idle")
 {
     World world(3);
--- a/libs/capacity/tests/ReturnTest.cpp
+++ b/libs/capacity/tests/ReturnTest.cpp
@@ -2,8 +2,8 @@
 //
 // Requests arrive at random: for 2.4 s of each 5.8 s at 1.9 times the mean rate, and otherwise at 0.38 times the mean rate. The bursts need
 // 1.4 times the existing slots, and some slots are free between bursts. A request occupies its slot for 0.75 s on average, with a standard
-// deviation of a quarter. The first event is in time within 300 ms of each attempt. A caller allows 5 s in total, waits at most a third of
-// the remaining time before its retry, and retries once.
+// deviation of a quarter of that. The first event is in time within 300 ms of each attempt. A caller allows 5 s in total, waits at most a
+// third of the remaining time before its retry, and retries once.
 #include "capacity/CallerPatience.h"
 #include "capacity/CapacityBoard.h"
 #include "capacity/FullPhases.h"
--- a/libs/routes/include/routes/RouteTable.h
+++ b/libs/routes/include/routes/RouteTable.h
@@ -51,7 +51,7 @@
     Duration targetLatency_ = 1s; // until the answer; for streams until the first event; for jobs until the acknowledgement
     Duration longestGap_ = 0s; // the target for the time between two events of a stream; zero: no target
     std::uint32_t priority_ = 0; // 0 is the most urgent
-    std::uint32_t maxAttempts_ = 1; // engines on which one attempt of a caller may run
+    std::uint32_t maxAttempts_ = 1; // engines on which one request may run; a retry by the caller counts as a new request
     bool resumable_ = false; // another engine can continue a stream after the last event that was sent
     std::vector<RouteTarget> targets_; // never empty, weights not all zero
     Duration runTarget_ = 0s; // for jobs: from submission until all results are due
@@ -72,7 +72,7 @@
     std::size_t headerBytes_ = 16 * 1024;
     std::size_t bodyBytes_ = 4 * 1024 * 1024;
     Duration headerTime_ = 3s;
-    Duration idle_ = 15s;
+    Duration idle_ = 15s; // connections without a request, or whose peer sends or takes no byte, are closed after this time
 };
 
 struct RouteConfig {
