--- a/libs/ledger/include/ledger/Acceptor.h
+++ b/libs/ledger/include/ledger/Acceptor.h
@@ -1,10 +1,10 @@
-// Takes a job in: nothing is acknowledged before the store holds all of it.
+// Accepts a batch job by writing it to the store. A job is acknowledged only when the store holds all of it.
 //
-//     Acceptor acceptor(store, options);
-//     acceptor.accept(std::move(submission), owner, now, wall, [](const Acceptance& acceptance) { ... });
+//     Acceptor acceptor(store);
+//     acceptor.accept(std::move(submission), owner, bound, now, wall, [](const Acceptance& acceptance, TimePoint now) { ... });
 //
-// Head and item pages are created at the same time, so that an acknowledgement costs one round trip to the store; the job counts as
-// accepted when all of them exist. A job that comes again meets its own objects and is acknowledged again.
+// The head and the item pages are created in parallel, so that an acknowledgement costs one round trip to the store. The job counts as
+// accepted when all of them exist. Submitting the same job again finds the existing objects and acknowledges it again.
 #pragma once
 
 #include "base/Result.h"
@@ -16,29 +16,29 @@
 
 namespace jj {
 
-// How the ledger reaches the store: CallQueue::send, or something like it.
+// Sends a call to the store; usually CallQueue::send.
 using LedgerStore = std::function<void(ObjectCall, CallClass, TimePoint until, SettledCompletion)>;
 
 struct JobSubmission {
     JobName job_;
-    JobHead head_; // owner, total and pages are filled in here
+    JobHead head_; // accept() fills in the owner, the number of items and the number of pages
     std::vector<JobItem> items_;
 };
 
 enum class AcceptOutcome : std::uint8_t {
     Accepted,
-    AlreadyAccepted, // by an earlier submission; its owner knows of it
-    NotAccepted, // the store took nothing that could make it run, now or later
-    Unknown, // an answer of the store is missing: it may be accepted
+    AlreadyAccepted, // by an earlier submission; its owner has already been notified
+    NotAccepted, // the store holds nothing from which the job could run, now or later
+    Unknown, // an answer of the store is missing, so the job may have been accepted
     Invalid,
-    Kept, // on the disks of enough hosts, which bring it to the store (JobIntake.h)
+    Kept, // copies are on the disks of enough hosts, which upload the job to the store (JobIntake.h)
 };
 std::string_view toString(AcceptOutcome outcome);
 
 struct Acceptance {
     AcceptOutcome outcome_ = AcceptOutcome::NotAccepted;
-    Failure failure_; // Invalid
-    // Accepted: what the owner needs to begin without reading the store.
+    Failure failure_; // set for Invalid only
+    // Set for Accepted: what the owner needs to start the job without reading the store.
     JobHead head_;
     ObjectVersion headVersion_;
     std::vector<JobItem> items_;
@@ -53,7 +53,7 @@
     {
     }
 
-    // `bound`: how long the store may take; the outcome is known by then.
+    // Writes the job to the store and calls `done` once. The calls to the store time out after `bound`, and the outcome is known by then.
     void accept(JobSubmission submission, NodeId owner, Duration bound, TimePoint now, WallTime wall, Done done);
 
 private:
--- a/libs/ledger/include/ledger/FileDisk.h
+++ b/libs/ledger/include/ledger/FileDisk.h
@@ -1,7 +1,8 @@
-// Named texts as files of one folder (JobSpool.h).
+// Stores named texts as files in one folder (see SpoolDisk in JobSpool.h).
 //
-// A file is written beside its place, synced, renamed into it, and its folder is synced: after a power loss a name stands for a whole text
-// or for none. Two syncs a write, a millisecond on the disks at hand.
+// A write goes to a temporary file in the same folder, which is synced and then renamed to its final name; then the folder is synced. After
+// a power loss a name therefore refers to a complete text or does not exist. A write costs two syncs, about one millisecond on the disks in
+// use.
 #pragma once
 
 #include "base/Result.h"
@@ -14,13 +15,14 @@
 
 class FileDisk {
 public:
-    // Makes the folder if it isn't there, and removes what unfinished writes left. Error: the system's.
+    // Opens the folder, creates it if it doesn't exist, and removes the temporary files of interrupted writes. Returns the system's error
+    // on failure.
     static Result<FileDisk> open(std::string folder);
 
     Result<std::vector<std::string>> names();
     Result<std::string> read(const std::string& name);
     Result<void> write(const std::string& name, std::string_view text);
-    // One that isn't there is removed.
+    // Removes the text. Succeeds if there is none of this name.
     Result<void> remove(const std::string& name);
 
 private:
--- a/libs/ledger/include/ledger/JobIntake.h
+++ b/libs/ledger/include/ledger/JobIntake.h
@@ -1,11 +1,11 @@
-// Takes a job in from a caller: into the store, or onto the disks of some hosts while the store doesn't answer.
+// Accepts a job from a caller: writes it to the store, or to the disks of several hosts while the store doesn't answer.
 //
 //     JobIntake intake(settings, outlets);
 //     intake.submit(std::move(submission), bound, now, wall, [](const IntakeAnswer& answer, TimePoint now) { ... });
 //     intake.tick(now);
 //
-// Both ways may be under way for one job; whichever ends well first acknowledges it. That is safe in any order, since all that either
-// writes is created if absent and holds the same. A job is refused as "not run" only when neither way can have taken anything.
+// Both paths may be in progress for one job, and the first one that succeeds acknowledges it. This is safe in any order, because both paths
+// write the same objects and create them only if absent. A job is refused as "not run" only if neither path can have stored anything.
 #pragma once
 
 #include "ledger/KeptJob.h"
@@ -18,16 +18,17 @@
 namespace jj {
 
 struct IntakeSettings {
-    // A store that hasn't answered by then may not answer in time: its slow answers take some 240 ms, acknowledgements are due after 400 ms,
-    // and keeping a job takes some 30 ms between regions.
+    // If the store hasn't answered after this time, the job is also sent to other hosts for spooling. Slow answers of the store take about
+    // 240 ms, spooling a job takes about 30 ms between regions, and callers expect an acknowledgement within 400 ms.
     Duration keepAfter_ = 250ms;
-    // A host that hasn't answered by then may be gone without anybody knowing yet; others are asked in its place.
+    // If a host hasn't answered a spool request after this time, another host is asked in its place. The host may be down without having
+    // been detected as dead yet.
     Duration spareAfter_ = 80ms;
 };
 
 struct IntakeAnswer {
     AcceptOutcome outcome_ = AcceptOutcome::NotAccepted;
-    Failure failure_; // Invalid
+    Failure failure_; // set for Invalid only
     std::size_t items_ = 0;
     NodeId owner_; // none: not known yet
 };
@@ -35,14 +36,15 @@
 struct IntakeOutlets {
     LedgerStore store_;
     std::function<bool()> storeIsAway_;
-    // Hosts for one job, as many as must keep it, none of them among `silent`; empty when there are too few.
+    // Chooses the hosts that spool one job, as many as there must be copies. Excludes `silent`, the hosts that haven't answered their
+    // spool requests. Returns an empty list if too few hosts are available.
     std::function<std::vector<NodeId>(const std::vector<NodeId>& silent)> keepers_;
     std::function<void(NodeId, KeptJob, std::function<void(KeepOutcome, TimePoint now)>)> keep_;
-    // The store has the job; its copy there is of no use any more.
+    // Tells a host to delete its copy of a job, because the store now holds the job.
     std::function<void(NodeId, const JobName&)> forget_;
-    // Who should own a job that is accepted now.
+    // Returns the node that should own a job accepted now.
     std::function<NodeId(const JobName&)> ownerOf_;
-    // The store has the job: to its owner.
+    // Notifies the job's owner that the store has accepted the job.
     std::function<void(const JobName&, const Acceptance&)> accepted_;
 };
 
@@ -52,7 +54,7 @@
 
     JobIntake(IntakeSettings settings, IntakeOutlets outlets);
 
-    // `bound`: how long the store may take. Answers once.
+    // Submits a job and calls `done` exactly once. The calls to the store time out after `bound`.
     void submit(JobSubmission submission, Duration bound, TimePoint now, WallTime wall, Done done);
     void tick(TimePoint now);
 
@@ -71,8 +73,8 @@
     IntakeSettings settings_;
     IntakeOutlets outlets_;
     Acceptor acceptor_;
-    std::list<TakingPtr> waiting_; // for the store, with no copy kept so far; oldest first
-    std::list<TakingPtr> keeping_; // hosts were asked, none in place of a silent one; oldest first
+    std::list<TakingPtr> waiting_; // jobs that wait for the store and haven't been sent to other hosts; oldest first
+    std::list<TakingPtr> keeping_; // jobs sent to other hosts, before the check for hosts that haven't answered; oldest first
 };
 
 } // namespace jj
--- a/libs/ledger/include/ledger/JobScheduler.h
+++ b/libs/ledger/include/ledger/JobScheduler.h
@@ -1,20 +1,21 @@
-// One node's jobs: those that it owns, their items and results, and reads, ends, takeovers and handovers.
+// Manages the jobs that one node owns: their items and results, reads, cancellation, takeover and handover.
 //
 //     JobScheduler scheduler(settings, outlets);
-//     scheduler.adopt(job, now);                                  // this node is the owner of an accepted job
-//     while (auto run = scheduler.startNext(service, now)) ...    // the most urgent item that waits
-//     scheduler.event(run->id_, eventId, data);                   // of its stream
+//     scheduler.adopt(transfer, now, wall);                       // this node is the owner of an accepted job
+//     while (auto run = scheduler.startNext(service, now)) ...    // the most urgent waiting item
+//     scheduler.event(run->id_, eventId, data);                   // an event of the run's stream
 //     scheduler.ended(run->id_, RunEnd::Completed, now);
 //     scheduler.read(job, after, wait, force, now, done);
 //     scheduler.tick(now, wall);
 //
-// Ownership is no lease. The head names the owner; whoever finds it dead writes itself in under the head's version, and goes on from the
-// result pages. Failure met: the owner was only paused or cut off, wakes, and adds results of its own. It shows as an item with two
-// results, or as results whose positions differ from node to node. The guard: the K-th result page is created if absent, so of two owners
-// only one gets position K; the other reads that page, drops what it lists, and goes on behind it.
+// Ownership is not a lease. The head names the owner. A node that considers the owner dead writes itself into the head, on condition that
+// the head's version is unchanged, and continues after the existing result pages. The former owner may only have been paused or cut off,
+// and may then try to add results of its own, which could give an item two results, or make positions differ between nodes. To prevent
+// this, the K-th result page is created only if absent, so only one of two owners can write it. The other one reads that page, drops its
+// own results for the items listed there, and continues after it.
 //
-// A node that may have been replaced without knowing it (it was paused, or can't hear its peers) asks the store before it answers
-// a read of an open job: what another owner has listed must not be missing from its answer.
+// A node that may have been replaced without noticing (because it was paused, or doesn't receive its peers' messages) queries the store
+// before it answers a read of an open job, because its answer must include what another owner has listed.
 #pragma once
 
 #include "ledger/Acceptor.h"
@@ -32,51 +33,51 @@
 
 namespace jj {
 
-// One run of an item at an engine.
+// Identifies one run of an item on an engine.
 using RunId = Id<struct RunTag>;
 
 struct SchedulerSettings {
-    // Results that finish within it share a page, while the job has more to do; it is this part of the time until the job is due, and
-    // commitWindow_ at most. A caller sees a result half of it later on average, and never the last one.
+    // Results that finish within a commit window share a result page, unless they complete the job. The window is this fraction of the time
+    // left until the job is due, at most commitWindow_. On average it delays a result by half its length; it never delays the last result.
     double commitPart_ = 0.2;
     Duration commitWindow_ = 2s;
-    // From so long before the job is due on, each result is listed at once.
+    // Within this time before the job is due, each result is committed at once.
     Duration dueMargin_ = 1s;
-    // An item that fails is tried again after it, twice as long after each further failure, up to longestRetry_.
+    // Delay before an item is retried after a failed run. It doubles with each further failure, up to longestRetry_.
     Duration firstRetry_ = 100ms;
     Duration longestRetry_ = 4s;
-    // Store calls that no caller waits for go on for so long; they carry on over an outage.
+    // Timeout of store calls that no caller waits for; long enough for them to survive an outage.
     Duration patience_ = std::chrono::minutes(10);
-    // A read that has to ask the store waits for at most so long.
+    // Timeout of a read that has to query the store.
     Duration readBound_ = 1s;
-    // Items that haven't arrived by then won't: the submission was given up.
+    // Items that are missing from the store after this time will not arrive, because their submission was abandoned.
     Duration itemsBound_ = 10s;
-    // An item that is due within the rest of its run and this has to run now. Commits take some 300 ms, slots come and go in bursts of
-    // seconds.
+    // An item is urgent if the time until it is due is less than the rest of its run plus this margin. A commit takes about 300 ms, and
+    // slots become free and occupied in bursts of seconds.
     Duration urgentMargin_ = 2500ms;
-    // With less than this part of the rest of its run left, an item can't be in time.
+    // An item can't finish in time if the time left is less than this fraction of the rest of its run.
     double hopelessPart_ = 0.7;
-    // A gap between two ticks over this means that the process was paused, and others may have taken over.
+    // A longer gap between two ticks means that the process was paused and that other nodes may have taken over its jobs.
     Duration pauseBound_ = 1s;
-    // While this node may have been replaced: how old the store's answer may be for a read, counted from when the store was asked. What one
-    // node has answered, every other one must know a second later, and a caller reads each half second: so it is asked for each
-    // second read.
+    // While this node may have been replaced, an answer of the store is valid for reads for this time, counted from the sending of the
+    // query. A result that one node has returned must be known to all others one second later. Callers read every 500 ms, so every second
+    // read queries the store.
     Duration trustedFor_ = 900ms;
-    // What the store didn't do is tried again after it.
+    // Delay before a failed store operation is retried.
     Duration storeRetry_ = 500ms;
-    // A node that started, was paused or was believed dead within it may have been replaced as the owner of a job that it is sent
-    // now: detection and takeover take some three seconds.
+    // After its start, a pause, or being considered dead, a node may for this time have been replaced as the owner of a job that it now
+    // receives. Detection and takeover take about three seconds.
     Duration newcomer_ = 10s;
-    // By then all nodes that can reach this process know that it has started. It writes itself into the heads of its jobs anew, and need not ask the
-    // store for them after that.
+    // After this time all nodes that can reach this process have noticed its start. The process then rewrites the heads of its jobs, and
+    // no longer queries the store before reads.
     Duration knownAfter_ = 4s;
-    // Wall clocks differ between hosts and jump; nothing is given up before this much extra.
+    // Wall clocks differ between hosts and may jump, so items are abandoned and objects removed only after this additional time.
     Duration clockSlack_ = 5s;
-    // A finished job that nobody reads leaves memory after it, and is read from the store again when needed.
+    // A completed or cancelled job without reads is dropped from memory after this time, and is loaded from the store again when needed.
     Duration keepIdle_ = 20s;
-    // Objects of a job that isn't open are removed after so long.
+    // The objects of a job that is no longer open are removed this long after the job was accepted.
     Duration retention_ = 150s;
-    std::size_t answerBytes_ = 900 * 1024; // of results in one answer; at least one result is given
+    std::size_t answerBytes_ = 900 * 1024; // limit for the results in one answer; an answer contains at least one result if there is one
 };
 
 struct ItemRun {
@@ -87,33 +88,33 @@
     std::string path_;
     ItemHeaders headers_;
     std::string body_; // decoded
-    std::optional<std::uint64_t> resumeAfter_; // the last event that is held; the run goes on after it
+    std::optional<std::uint64_t> resumeAfter_; // last event received in earlier runs; the run resumes after it
     TimePoint due_ {};
 };
 
-// How an item stands against its due time, by what runs take lately.
+// Whether an item can finish before it is due, estimated from the duration of recent runs.
 enum class ItemUrgency : std::uint8_t {
-    Relaxed, // may give way and still be in time
-    Urgent, // in time only if it runs now
-    Doubtful, // not begun, and what began with so little time left was late of late: after all that can be in time
-    Late, // can't be in time any more: after all others
+    Relaxed, // can yield its slot and still finish in time
+    Urgent, // finishes in time only if it runs now
+    Doubtful, // not started; recent items with as little time left finished late, so it runs after all that can finish in time
+    Late, // can't finish in time; runs after all others
 };
 
 enum class RunEnd : std::uint8_t {
-    Completed, // all events came, and the answer's end
-    GivenWay, // stopped for a question, or never begun; goes on where it stopped
-    Broken, // the engine or the connection was lost; goes on where it stopped
-    OutOfStep, // the run didn't go on after the event that was asked for; begins anew
-    Failed, // the engine's own failure
-    Impossible, // the engine says that the item can never be done
-    RouteGone, // no configuration carries the item any more
+    Completed, // all events and the end of the answer were received
+    GivenWay, // by an online request, or before the run started; resumes after the last event received
+    Broken, // the engine or the connection was lost; resumes after the last event received
+    OutOfStep, // the run didn't resume after the requested event; starts over
+    Failed, // the engine reported an error of its own
+    Impossible, // the engine reported that the item can never succeed
+    RouteGone, // no configuration routes the item any more
 };
 
 enum class ReadOutcome : std::uint8_t {
     Found,
-    Missing, // no such job
-    Unsure, // the store can't be asked now
-    Elsewhere, // owner_ has it
+    Missing, // there is no such job
+    Unsure, // the store doesn't answer now
+    Elsewhere, // owned by another node, which owner_ names
 };
 
 struct ReadAnswer {
@@ -135,7 +136,7 @@
     NodeId owner_;
 };
 
-// A job that changes hands, with what its runs have brought so far.
+// A job that is transferred to another owner, with the output of its runs so far.
 struct JobTransfer {
     struct Progress {
         std::string item_;
@@ -149,18 +150,18 @@
     JobHead head_;
     ObjectVersion headVersion_;
     std::vector<JobItem> items_;
-    std::uint32_t resultPages_ = 0; // that are known to exist
-    bool isResent_ = false; // an earlier message with it had no answer
+    std::uint32_t resultPages_ = 0; // number of result pages known to exist
+    bool isResent_ = false; // an earlier message with this transfer wasn't acknowledged
     std::vector<Progress> progress_;
 };
 
-// What a node decided about a job, for the log.
+// Kinds of events that the scheduler reports for the log.
 enum class SchedulerNote : std::uint8_t {
     Adopted,
     TakenOver,
-    Lost, // another owner stands in the head
+    Lost, // the head names another owner
     Listed, // results were committed
-    ConflictMet, // another owner had written the page
+    ConflictMet, // another owner had already written the result page
     ItemErrored,
     ItemRetried,
     JobDone,
@@ -176,7 +177,8 @@
     SchedulerNote note_ = SchedulerNote::Adopted;
     std::string_view job_;
     std::string_view item_;
-    std::uint64_t count_ = 0; // Listed: results so far; others: see the place
+    // Listed: number of results so far. For other kinds see where the event is reported.
+    std::uint64_t count_ = 0;
     std::error_code error_;
 };
 
@@ -184,16 +186,18 @@
     LedgerStore store_;
     NodeId self_;
     std::function<bool(NodeId)> isLive_;
-    // Who should own a job after `former`, of the live nodes that run jobs; none when there are none.
+    // Returns the node that should own a job after `former`, chosen from the live nodes that run jobs; none if there is no such node.
     std::function<NodeId(std::string_view job, NodeId former)> preferredOwner_;
-    std::function<void(RunId)> stop_; // the run is of no use any more; nothing more is said of it
+    std::function<void(RunId)> stop_; // stops a run whose output is no longer needed; the scheduler ignores further events of it
     std::function<void(NodeId to, JobTransfer)> transfer_;
     std::function<void(const SchedulerEvent&)> note_;
-    // Which service carries the item now; nullopt when no configuration is known, empty when none of its routes does.
+    // Returns the service that the item is currently routed to. Returns nullopt while no configuration is known, and an empty name if no
+    // route matches the item.
     std::function<std::optional<std::string>(std::string_view host, std::string_view path)> serviceOf_;
-    // A job that isn't in the store may be on its way there from some host's disk, so nobody can say that there is no such job.
+    // Whether some host may hold a spooled job that isn't in the store yet. While this is true, a read of a job that isn't in the store is
+    // answered with Unsure instead of Missing.
     std::function<bool()> mayBeKept_;
-    // Others may have replaced this node without its knowing.
+    // Whether other nodes may have replaced this one without its noticing.
     std::function<bool()> mayBeReplaced_;
 };
 
@@ -206,7 +210,7 @@
     JobScheduler(SchedulerSettings settings, SchedulerOutlets outlets);
     ~JobScheduler();
 
-    // ---- where a job stands, by its head in the store
+    // ---- location of a job, from its head in the store
     struct Place {
         ReadOutcome outcome_ = ReadOutcome::Unsure;
         NodeId owner_;
@@ -217,38 +221,41 @@
 
     // ---- ownership
     void adopt(JobTransfer job, TimePoint now, WallTime wall);
-    // Reads all heads, now and each time it is called; takes over what has no live owner. Stale heads will do but for the first time.
+    // Lists all heads once, loads jobs that this node owns, and takes over jobs whose owner is dead. A stale list suffices, except for the
+    // first scan after a start.
     void scan(bool stale, TimePoint now);
-    // Gives all jobs to other nodes; afterwards none is taken.
+    // Hands over all jobs to other nodes. No further jobs are accepted.
     void beginLeaving(TimePoint now);
-    // Gives open jobs to whoever should own them, if that is another node: this one only took them in while it knew no better.
+    // Hands over open jobs whose preferred owner is another node. This node owns such jobs because it lacked current information when it
+    // accepted them.
     void passOn(TimePoint now);
     bool hasLeft() const;
     void suspectAll(TimePoint now);
 
     // ---- runs
-    // The most urgent item that waits and whose service is `service`; it counts as running from then on.
+    // Returns the most urgent item that waits for the service and marks it as running; nullopt if none waits.
     std::optional<ItemRun> startNext(std::string_view service, TimePoint now);
-    // Of the items that wait for a service: how the one stands that startNext() would give, and how many there are.
+    // The items that wait for one service: their number, and the urgency of the item that startNext() would return.
     struct Waiting {
         ItemUrgency urgency_ = ItemUrgency::Late;
         std::size_t count_ = 0;
-        std::size_t inTime_ = 0; // of them: those that can still be in time
-        TimePoint firstDue_ = neverTime; // of those in time; never: there are none
+        std::size_t inTime_ = 0; // number of items that can still finish in time
+        TimePoint firstDue_ = neverTime; // earliest due time of the items that can finish in time; neverTime if there are none
     };
     std::map<std::string, Waiting> waiting(TimePoint now);
     void event(RunId run, std::uint64_t eventId, std::string_view data);
     void ended(RunId run, RunEnd end, TimePoint now);
     ItemUrgency urgencyOf(RunId run, TimePoint now) const;
-    // What a whole run takes lately.
+    // Sets the duration of a complete, uninterrupted run, as recently measured.
     void setRunTime(Duration time) { runTime_ = time; }
 
-    // ---- callers. `force`: answer from the store, whoever owns the job.
+    // ---- calls on behalf of callers. `force`: use the store whichever node owns the job.
     void read(const JobName& job, std::uint32_t after, Duration wait, bool force, TimePoint now, ReadDone done);
     void body(const JobName& job, const std::string& item, bool force, TimePoint now, BodyDone done);
+    // Cancels the job.
     void end(const JobName& job, bool force, TimePoint now, EndDone done);
 
-    // A mark says that the job was ended past its owner.
+    // Handles the mark of a job that was cancelled bypassing its owner.
     void endMarked(const JobName& job, TimePoint now);
 
     void tick(TimePoint now, WallTime wall);
@@ -294,7 +301,7 @@
     void completeIfDone(const JobPtr& job, TimePoint now);
     void stopRuns(const JobPtr& job, bool keepText);
     void noticePause(TimePoint now);
-    // It may have been replaced without knowing it.
+    // Whether this node may have been replaced without noticing, because it started or was away recently.
     bool wasAway(TimePoint now) const;
     bool wasPaused(TimePoint now) const;
     bool isNewcomer(TimePoint now) const { return now - firstUse_ < settings_.newcomer_; }
@@ -322,17 +329,18 @@
 
     SchedulerSettings settings_;
     SchedulerOutlets outlets_;
-    std::map<JobName, JobPtr> jobs_; // that this node owns, to its knowledge
+    std::map<JobName, JobPtr> jobs_; // the jobs that this node believes it owns
     std::unordered_map<RunId, Running> runs_;
     std::uint64_t nextRun_ = 1;
-    std::map<JobName, TimePoint> claiming_; // takeovers under way, so that two scans don't start two
-    TimePoint firstUse_ {}; // when the process began
-    TimePoint awayAt_ {}; // when it was last found to have been paused or believed dead
+    std::map<JobName, TimePoint> claiming_; // takeovers in progress, so that two scans don't start the same one twice
+    TimePoint firstUse_ {}; // start of the process
+    TimePoint awayAt_ {}; // when this node last was found to have been paused or considered dead
     TimePoint lastTick_ {};
     WallTime wall_ {};
     Duration runTime_ = 5s;
-    double meanEvents_ = 0; // of whole items; 0: none has ended yet
-    // From an item's first run to its end, in lengths of an uninterrupted run: what giving way to questions makes of it.
+    double meanEvents_ = 0; // mean number of events of completed items; 0 before the first one
+    // Mean time from an item's first run to its completion, as a multiple of an uninterrupted run. It exceeds 1 because items yield to
+    // online requests.
     double meanStretch_ = 1;
     bool leaving_ = false;
     bool scanning_ = false;
--- a/libs/ledger/include/ledger/JobSpool.h
+++ b/libs/ledger/include/ledger/JobSpool.h
@@ -1,11 +1,11 @@
-// The jobs that this host keeps on its disk until the store has them (KeptJob.h).
+// Spools jobs on this host's disk until the store holds them (see KeptJob).
 //
 //     JobSpool<FileDisk> spool(std::move(disk), settings, outlets);
-//     spool.load(now);                       // what an earlier process kept
-//     spool.keep(job, now);                  // safe when it answers Kept
-//     spool.tick(now, wall);                 // brings them to the store
+//     spool.load(now);                       // copies that an earlier process left
+//     spool.storeCopy(job, now);             // the copy is durable if this returns Kept
+//     spool.tick(now, wall);                 // uploads the copies to the store
 //
-// The disk is a template parameter: files in the daemon, memory that outlives a simulated process in tests.
+// The disk is a template parameter: the daemon uses files, tests use memory that survives the end of a simulated process.
 #pragma once
 
 #include "ledger/KeptJob.h"
@@ -19,7 +19,7 @@
 
 namespace jj {
 
-// Named texts that survive the process, and a power loss once write() has answered.
+// A disk of named texts. A text survives the end of the process, and also a power loss once write() has returned.
 template <class Disk>
 concept SpoolDisk = requires(Disk& disk, const std::string& name, std::string_view text)
 {
@@ -38,29 +38,31 @@
 };
 
 struct SpoolSettings {
-    // Of all jobs together; beyond it a job is refused, and another host asked.
+    // Limit for all copies together. Beyond it a job is refused, and the sender asks another host.
     std::size_t mostBytes_ = 32U * 1024 * 1024;
-    // The entry's own calls may still bring the job to the store, and then it says so: within so long in nearly all cases.
+    // Delay before the first upload. The entry's own calls may still bring the job to the store; in nearly all cases they finish, and the
+    // entry notifies this host, within this time.
     Duration firstTry_ = 1500ms;
-    // Between the first tries of the hosts that keep one job.
+    // Delay between the first uploads of the hosts that spool the same job.
     Duration rankStep_ = 1s;
     Duration retryAfter_ = 500ms;
-    // How long one try may take.
+    // Timeout of one upload.
     Duration bound_ = 2s;
     std::size_t mostAtOnce_ = 4;
-    // A copy that is older may be of a job that was done and removed from the store: it would run once more. So it goes unread. Callers
-    // have given up on it long before. The same time as SchedulerSettings::retention_.
+    // Copies older than this are dropped unread. The job may already have completed and been removed from the store, so that an upload
+    // would run it a second time. Callers have stopped waiting long before. The value equals SchedulerSettings::retention_.
     Duration retention_ = 150s;
 };
 
 enum class SpoolNote : std::uint8_t {
     Kept,
-    Refused, // no room, or the disk failed
-    Stored, // the store has it, by this host
-    Known, // the store had it already
-    Forgotten, // the entry says that the store has it
-    Outdated, // dropped, older than the retention
-    Unreadable, // dropped: never acknowledged, or the disk is damaged; without a job: the disk can't be listed
+    Refused, // the spool is full, or the disk failed
+    Stored, // this host uploaded the job to the store
+    Known, // the store already held the job
+    Forgotten, // the entry reported that the store holds the job
+    Outdated, // dropped because the copy is older than the retention
+    // dropped: the write was never acknowledged or the disk is damaged. Without a job name: the disk's names can't be read.
+    Unreadable,
     TriedInVain,
 };
 std::string_view toString(SpoolNote note);
@@ -71,7 +73,7 @@
     std::function<NodeId(const JobName&)> ownerOf_;
     std::function<void(const JobName&, const Acceptance&)> accepted_;
     std::function<void(SpoolNote, const JobName&, std::error_code)> note_;
-    // The number of kept jobs has changed.
+    // Called when the number of spooled jobs has changed.
     std::function<void()> changed_;
 };
 
@@ -105,7 +107,7 @@
         outlets_.changed_();
     }
 
-    // Idempotent: a job that is kept already is kept once.
+    // Writes a copy of the job to the disk. Idempotent: a job that is already spooled is not written again.
     KeepOutcome keep(const KeptJob& job, TimePoint now)
     {
         const JobName& name = job.submission_.job_;
@@ -118,7 +120,7 @@
         }
         if (const auto written = disk_.write(name, text); !written) {
             outlets_.note_(SpoolNote::Refused, name, written.error());
-            // Part of it may stand on the disk, and a later process would take it for a whole one.
+            // The disk may hold a part of the text, which a later process would load as a complete copy.
             return disk_.remove(name) ? KeepOutcome::Refused : KeepOutcome::Unknown;
         }
         bytes_ += text.size();
@@ -181,7 +183,7 @@
             outlets_.accepted_(name, acceptance);
         const auto held = held_.find(name);
         if (held == held_.end())
-            return; // forgotten meanwhile
+            return; // removed during the upload
         held->second.isTrying_ = false;
         held->second.tryAt_ = now + settings_.retryAfter_;
         switch (acceptance.outcome_) {
@@ -200,7 +202,7 @@
     {
         bytes_ -= held_.at(name).bytes_;
         held_.erase(name);
-        // A copy that comes back with a power loss meets the job in the store once more.
+        // If a power loss brings the deleted copy back, its upload finds the job in the store and changes nothing.
         const auto removed = disk_.remove(name);
         outlets_.note_(note, name, removed ? error : removed.error());
         outlets_.changed_();
@@ -211,7 +213,7 @@
     SpoolOutlets outlets_;
     Acceptor acceptor_;
     std::map<JobName, Held> held_;
-    std::size_t bytes_ = 0; // of all in held_
+    std::size_t bytes_ = 0; // of all copies in held_
     std::size_t trying_ = 0;
 };
 
--- a/libs/ledger/include/ledger/KeptJob.h
+++ b/libs/ledger/include/ledger/KeptJob.h
@@ -1,9 +1,9 @@
-// A job that some hosts keep on their disks until the store has it, as it is written and sent.
+// A job that some hosts spool on their disks until the store holds it, and its encoding on disk.
 //
-// Failure met: the store is away for seconds, and every job that comes then is refused; callers try once more and give up. The guard: an
-// entry hands such a job to as many hosts with a disk as may be lost at a time and one more, and acknowledges it when all have it safe.
-// Each of them brings it to the store as soon as that answers. Head and item pages are created if absent, so it doesn't matter how many
-// do, nor whether the entry's own calls arrive late.
+// While the store is unavailable for some seconds, every new job would be refused; callers retry once and then give up. Instead, the entry
+// sends such a job to as many hosts with a disk as may fail at a time plus one, and acknowledges it when all of them have written it to
+// disk. Each of these hosts uploads the job to the store as soon as the store answers. Head and item pages are created only if absent, so
+// neither several uploads nor late calls of the entry do harm.
 #pragma once
 
 #include "ledger/Acceptor.h"
@@ -15,20 +15,21 @@
 namespace jj {
 
 struct KeptJob {
-    JobSubmission submission_; // its head says when the job was acknowledged
-    // Of this host among those that keep the job: they bring it one after the other, so that one copy costs calls and not all.
+    JobSubmission submission_; // its head contains the time at which the entry accepted the job
+    // Rank of this host among the hosts that spool the job. They upload the job one after the other in this order, so that usually only the
+    // first one makes calls to the store.
     std::uint32_t rank_ = 0;
 };
 
 enum class KeepOutcome : std::uint8_t {
     Kept,
-    Refused, // the host has not kept it
-    Unknown, // no answer: it may have
+    Refused, // the host has not spooled the job
+    Unknown, // no answer: the host may have spooled the job
 };
 
-// One text with a checksum: what a power loss left of a write that was never acknowledged doesn't decode.
+// Encodes the job as text with a checksum, so that the remainder of a write that was interrupted by a power loss doesn't decode.
 std::string encode(const KeptJob& job);
-// Error: BadRecord.
+// Decodes such a text. Error: BadRecord.
 Result<KeptJob> decodeKept(std::string_view text);
 
 } // namespace jj
--- a/libs/ledger/include/ledger/Records.h
+++ b/libs/ledger/include/ledger/Records.h
@@ -1,12 +1,13 @@
-// What lies in the platform's store of each job, and how it is written.
+// The objects of a job in the platform's store, and their encoding.
 //
-//   jobs/ID             head: how many items, who owns the job, is it open. Changed under its version only.
-//   job-items/ID.P      page P of the items, written once when the job is accepted.
-//   job-ends/ID         a mark: the job was ended past its owner, who reads the head again when it sees the mark, and removes it.
-//   job-results/ID.K    the K-th group of results. Created if absent, never changed. An empty one marks a change of the owner.
+//   jobs/ID             head: the number of items, the owner, the state. Updated only if its version is unchanged.
+//   job-items/ID.P      page P of the items. Written once, when the job is accepted.
+//   job-ends/ID         mark: the job was cancelled bypassing its owner. The owner, on seeing it, reads the head again and removes it.
+//   job-results/ID.K    page K of the results. Created only if absent, never changed. An empty page marks a change of the owner.
 //
-// A job is accepted when its head and all its item pages exist. Positions of results follow from the order of the result pages. So
-// whoever believes to own the job can add a page and never change one: two owners at a time cost work, never a result.
+// A job is accepted when its head and all its item pages exist. The order of the result pages defines the positions of the results. A node
+// that believes it owns the job can therefore add pages but never change one: two simultaneous owners may duplicate work, but never a
+// result.
 #pragma once
 
 #include "base/Id.h"
@@ -22,41 +23,41 @@
 
 namespace jj {
 
-// The job's id as its caller chose it. Valid ids are parts of a store key: [A-Za-z0-9._-], at most longestJobName.
+// The id that the caller chose for the job. A valid id can be part of a store key: [A-Za-z0-9._-], at most longestJobName characters.
 using JobName = std::string;
 constexpr std::size_t longestJobName = 128;
 bool isValidJobName(std::string_view name);
 
 enum class LedgerError : int {
-    BadRecord = 1, // an object's text can't be read as what its key says
+    BadRecord = 1, // the object's text can't be decoded as the record that its key names
     BadJobName,
     NoItems,
     DuplicateItem, // two items of a job have the same id
-    ItemTooLarge, // one item alone is over the store's limit
+    ItemTooLarge, // a single item exceeds the store's size limit
 };
 
 std::error_code make_error_code(LedgerError error);
 
 enum class JobState : std::uint8_t {
     Open,
-    Ended, // its caller ended it; nothing more has to be listed
+    Ended, // by its caller; no further results are needed
     Done, // all results are listed
-    Void, // never accepted: its items did not all arrive
+    Void, // never accepted, because some of its items didn't arrive
 };
 
 std::string_view toString(JobState state);
 
 struct JobHead {
-    std::string host_; // of the caller's request; with an item's path it selects the item's route
+    std::string host_; // host name of the caller's request; together with an item's path it selects the item's route
     NodeId owner_;
     std::uint32_t total_ = 0;
     std::uint32_t itemPages_ = 0;
-    // Grows when an owner writes itself in anew; what others meant to write under an earlier version of the head is refused from then on.
+    // Incremented when an owner rewrites the head to confirm its ownership; updates based on an earlier version of the head then fail.
     std::uint32_t term_ = 0;
     WallTime acceptedAt_ {};
     Duration runTarget_ {}; // from acceptance until all results are due
-    Duration abandonAfter_ {}; // from acceptance until an item may be given up
-    std::uint32_t maxAttempts_ = 1; // runs that an engine may answer with its own failure
+    Duration abandonAfter_ {}; // from acceptance until an item may be abandoned
+    std::uint32_t maxAttempts_ = 1; // number of runs that may fail with an error of the engine itself
     JobState state_ = JobState::Open;
 };
 
@@ -66,7 +67,7 @@
     std::string id_;
     std::string path_;
     ItemHeaders headers_;
-    std::string body_; // base64, as it came
+    std::string body_; // base64, as received
 };
 
 enum class ResultState : std::uint8_t {
@@ -77,7 +78,7 @@
 struct JobResult {
     std::string item_;
     ResultState state_ = ResultState::Completed;
-    std::string text_; // data of all events, separated by line feeds; empty when errored
+    std::string text_; // data of all events, separated by line feeds; empty for Errored
 
     friend bool operator==(const JobResult&, const JobResult&) = default;
 };
@@ -86,11 +87,11 @@
 inline constexpr std::string_view endMarkKind = "job-ends/";
 std::string headKey(std::string_view job);
 std::string endMarkKey(std::string_view job);
-// The job of a mark's key; empty when it is none.
+// Returns the job of a mark's key, or an empty name if the key isn't a mark's.
 std::string_view jobOfEndMark(std::string_view key);
 std::string itemPageKey(std::string_view job, std::uint32_t page);
 std::string resultPageKey(std::string_view job, std::uint32_t page);
-// The job of a head's key; empty when it is none.
+// Returns the job of a head's key, or an empty name if the key isn't a head's.
 std::string_view jobOfHeadKey(std::string_view key);
 
 std::string encode(const JobHead& head);
@@ -102,10 +103,10 @@
 Result<std::vector<JobItem>> decodeItems(std::string_view text);
 Result<std::vector<JobResult>> decodeResults(std::string_view text);
 
-// The items in pages that each fit into one object. Errors: NoItems, DuplicateItem, ItemTooLarge.
+// Splits the items into pages that each fit into one object. Errors: NoItems, DuplicateItem, ItemTooLarge.
 Checked<std::vector<std::vector<JobItem>>> paged(std::vector<JobItem> items);
 
-// Standard base64 with padding. Error: BadRecord.
+// Decodes standard base64 with padding. Error: BadRecord.
 Result<std::string> fromBase64(std::string_view text);
 
 } // namespace jj
--- a/libs/ledger/src/Acceptor.cpp
+++ b/libs/ledger/src/Acceptor.cpp
@@ -1,4 +1,4 @@
-// One submission is a set of creates; the worst answer decides.
+// A submission is a set of parallel creates. The least favourable answer determines the outcome.
 #include "ledger/Acceptor.h"
 
 namespace jj {
@@ -12,7 +12,7 @@
         Acceptor::Done done_;
         TimePoint until_;
         std::size_t open_ = 0; // creates without an answer
-        bool headStood_ = false; // the head was there before
+        bool headStood_ = false; // before this submission
         bool headMade_ = false;
         bool unknown_ = false;
         bool failed_ = false;
@@ -24,7 +24,7 @@
         taking->done_(taking->acceptance_, now);
     }
 
-    // An earlier submission may have been given up before its items had arrived; now they have.
+    // Reopens a job whose earlier submission was abandoned because its items were missing. This submission has written all of them.
     void reopen(const std::shared_ptr<Taking>& taking, JobHead head, ObjectVersion version)
     {
         head.state_ = JobState::Open;
@@ -53,8 +53,8 @@
     {
         if (taking->unknown_)
             return finish(taking, AcceptOutcome::Unknown, now);
-        // With a head in the store, missing items may still come with the next submission, and then the job runs. "Not run" would be
-        // a lie to a caller whose other submissions are refused too.
+        // If the head is in the store, a later submission may add the missing items, and the job then runs. NotAccepted would therefore be
+        // wrong for a caller whose other submissions are refused as well.
         if (taking->failed_)
             return finish(taking, taking->headStood_ || taking->headMade_ ? AcceptOutcome::Unknown : AcceptOutcome::NotAccepted, now);
         if (taking->headStood_)
@@ -109,7 +109,8 @@
     acceptance.head_.acceptedAt_ = wall;
     acceptance.head_.total_ = static_cast<std::uint32_t>(acceptance.items_.size());
     acceptance.head_.itemPages_ = static_cast<std::uint32_t>(pages.value().size());
-    ++taking->open_; // until all creates are under way: an answer may come at once
+    // Counts as one more create until all are sent, because an answer may arrive while the next one is being sent.
+    ++taking->open_;
     for (std::uint32_t page = 0; page < pages.value().size(); ++page)
         create(taking, itemPageKey(taking->job_, page), encode(pages.value()[page]), false);
     create(taking, headKey(taking->job_), encode(acceptance.head_), true);
--- a/libs/ledger/src/FileDisk.cpp
+++ b/libs/ledger/src/FileDisk.cpp
@@ -1,4 +1,4 @@
-// POSIX files; the daemon's only disk.
+// Disk of named texts in POSIX files; the only one that the daemon uses.
 #include "ledger/FileDisk.h"
 
 #include <cerrno>
@@ -14,13 +14,13 @@
 
     namespace fs = std::filesystem;
 
-    // Names may be anything that a job's id may be, "." too.
+    // The suffixes make every valid job id a valid file name, even ".".
     constexpr std::string_view suffix = ".job";
     constexpr std::string_view unfinished = ".part";
 
     std::error_code lastError() { return { errno, std::system_category() }; }
 
-    // An open descriptor, closed with its scope.
+    // Owns a file descriptor and closes it at the end of its scope.
     class Descriptor {
     public:
         explicit Descriptor(int number)
--- a/libs/ledger/src/JobIntake.cpp
+++ b/libs/ledger/src/JobIntake.cpp
@@ -1,4 +1,4 @@
-// One job's way in: what the store has said, what the hosts have said, and what follows for the caller.
+// Tracks one submission: the outcome of the store calls, the answers of the spooling hosts, and the resulting answer to the caller.
 #include "ledger/JobIntake.h"
 
 #include <algorithm>
@@ -13,14 +13,14 @@
     Done done_;
     bool answered_ = false;
     Acceptance acceptance_;
-    bool isStored_ = false; // the store's outcome is known: acceptance_
-    bool isKeeping_ = false; // hosts were asked, or there were too few
+    bool isStored_ = false; // acceptance_ holds the final outcome of the store calls
+    bool isKeeping_ = false; // spool requests were sent, or too few hosts were available
     TimePoint keepingSince_ {};
-    std::vector<std::vector<NodeId>> sets_; // of hosts; each of them is enough when all of it keeps the job
+    std::vector<std::vector<NodeId>> sets_; // sets of hosts; the job is durable when all hosts of one set have spooled it
     std::set<NodeId> asked_;
-    std::set<NodeId> silent_; // asked, without an answer
+    std::set<NodeId> silent_; // hosts that haven't answered their spool request
     std::set<NodeId> kept_;
-    bool maybeKept_ = false; // some host may have a copy
+    bool maybeKept_ = false;
 
     bool isInStore() const { return isStored_ && (acceptance_.outcome_ == AcceptOutcome::Accepted || acceptance_.outcome_ == AcceptOutcome::AlreadyAccepted); }
     bool isSafe() const
@@ -78,9 +78,10 @@
     askKeepers(taking, outlets_.keepers_({}));
 }
 
-// Failure met: a host with a disk goes down while the store is slow; until it is believed dead, each second or two, jobs are sent to it, whose
-// callers wait for the bound of that call and get their acknowledgement too late. The guard: what has not answered soon is replaced; a set
-// of hosts counts only when all of it keeps the job, so no acknowledgement rests on fewer copies.
+// Asks other hosts in place of those that haven't answered. When a host with a disk goes down while the store is slow, jobs are sent to it
+// until it is considered dead one or two seconds later, and callers that wait for the timeout of such a request get their acknowledgement
+// too late. A set of hosts counts only if all of it has spooled the job, so replacing a host never lowers the number of copies behind an
+// acknowledgement.
 void JobIntake::replaceSilent(const TakingPtr& taking)
 {
     if (taking->silent_.empty())
@@ -121,7 +122,7 @@
 
 void JobIntake::decide(const TakingPtr& taking, TimePoint now)
 {
-    // A copy is forgotten only after its host has answered: the message would overtake the one that brings it.
+    // Copies are discarded only after all hosts have answered, because the discard message could otherwise overtake the spool request.
     if (taking->isInStore() && taking->silent_.empty())
         forgetCopies(taking);
     if (taking->answered_)
@@ -137,7 +138,7 @@
         keep(taking, now);
     if (taking->answered_ || !taking->silent_.empty())
         return;
-    // A single copy may still bring the job to the store, so "not run" would be a lie.
+    // Even a single copy may still bring the job to the store, so refusing the job as "not run" could be wrong.
     answer(taking, taking->maybeKept_ ? AcceptOutcome::Unknown : taking->acceptance_.outcome_, now);
 }
 
--- a/libs/ledger/src/JobScheduler.cpp
+++ b/libs/ledger/src/JobScheduler.cpp
@@ -1,4 +1,4 @@
-// Ownership: loading, taking over, giving away, and the periodic work.
+// Ownership of jobs (loading, takeover, handover) and the periodic work.
 #include "ledger/JobScheduler.h"
 
 #include "ScheduledJob.h"
@@ -32,7 +32,7 @@
     outlets_.note_({ note, job, item, count, error });
 }
 
-// A clock that was set back would make a job due in the far future; no job is due later than if it came this moment.
+// Limits the time left to the job's run target: if the wall clock was set back, the job would otherwise be due in the far future.
 TimePoint JobScheduler::dueAt(const JobHead& head, TimePoint now, WallTime wall) const
 {
     const Duration left = std::chrono::duration_cast<Duration>(head.acceptedAt_ - wall) + head.runTarget_;
@@ -44,7 +44,7 @@
     return static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& entry) { return entry.second->isOpen(); }));
 }
 
-// ---- taking in
+// ---- adopting and loading
 
 void JobScheduler::adopt(JobTransfer transfer, TimePoint now, WallTime wall)
 {
@@ -62,9 +62,9 @@
     job->due_ = dueAt(transfer.head_, now, wall);
     job->loadStarted_ = now;
     job->lastUse_ = now;
-    // Failure met: the message was on its way for long, and others, who believed this node dead, gave the job to another owner that
-    // has listed results. A reader that is sent here would find nothing where it had read something. A node that was away lately
-    // asks the store first; one that was there all the while can't have been replaced.
+    // The message may have been delayed, and other nodes, which considered this node dead, may have given the job to another owner that has
+    // listed results since. A reader sent to this node would then miss results that it has already read. A node that started or was away
+    // recently therefore queries the store first. A node that was available throughout can't have been replaced.
     job->suspect_ = wasAway(now) || transfer.isResent_;
     for (JobTransfer::Progress& progress : transfer.progress_)
         job->progress_[progress.item_] = std::move(progress);
@@ -80,7 +80,7 @@
         job->byId_.clear();
         return loadItems(job, 0, now);
     }
-    // A job that has just been accepted has no result yet, so nothing has to be read.
+    // A newly accepted job has no results yet, so there is nothing to read.
     if (transfer.resultPages_ == 0 && job->progress_.empty())
         return loaded(job, now);
     loadResults(job, 0, now);
@@ -103,7 +103,7 @@
 
 void JobScheduler::loadItems(const JobPtr& job, std::uint32_t page, TimePoint now)
 {
-    // Nothing is left to run of a job that isn't open.
+    // A job that isn't open has no items left to run.
     if (page >= job->head_.itemPages_ || !job->isOpen())
         return loadResults(job, 0, now);
     store(ObjectCall::get(itemPageKey(job->name_, page)), CallClass::Commit, now + settings_.patience_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
@@ -118,11 +118,11 @@
             }
             return loadItems(job, page + 1, at);
         }
-        // The items of a job come with its head or soon after; those of a submission that was given up never do.
+        // Items are written together with the head or soon after it. Those of an abandoned submission never arrive.
         if (answer.is(ObjectError::NotFound) && at - job->loadStarted_ > settings_.itemsBound_)
             return makeVoid(job, at);
         note(SchedulerNote::StoreFailed, job->name_, {}, page, answer.ok() ? make_error_code(LedgerError::BadRecord) : answer.answer_.error_);
-        job->commitAgainAt_ = at + settings_.storeRetry_; // tick() loads again from the start
+        job->commitAgainAt_ = at + settings_.storeRetry_; // tick() restarts the loading
         job->items_.clear();
         job->byId_.clear();
     });
@@ -153,17 +153,17 @@
         }
         job->pages_ = page + 1;
         applyResults(job, std::move(results.value()));
-        // A job that isn't open lists nothing more, so its last result is the end.
+        // A job that isn't open gets no further results, so its last result ends the loading.
         if (!job->isOpen() && job->isComplete())
             return loaded(job, at);
         loadResults(job, page + 1, at);
     });
 }
 
-// Failure met: an earlier owner, or an earlier process of this node, has a result page on its way to the store. Arriving now, it would be
-// listed without this owner's knowledge: readers that ask the store would see results that this owner, who answers from memory, doesn't
-// show. The guard: the next page is taken by an empty one. What was on its way then meets a conflict, and whoever sent it looks at the
-// head before it writes again. It costs one write a takeover.
+// Reserves the next page with an empty one. An earlier owner, or an earlier process of this node, may have a write of a result page in
+// flight. If that write succeeded now, readers that query the store would see results that this owner, which answers from memory, doesn't
+// know. After the fence the write fails with a conflict, and its sender reads the head before it writes again. The cost is one write per
+// takeover.
 void JobScheduler::fence(const JobPtr& job, TimePoint now)
 {
     const std::uint32_t page = job->pages_;
@@ -200,7 +200,7 @@
     answerReaders(job, now, false);
 }
 
-// Results that stand in the store: whatever this node has of the same items is of no use any more.
+// Adds results that are in the store. This node's own results and runs of the same items are discarded.
 void JobScheduler::applyResults(const JobPtr& job, std::vector<JobResult> results)
 {
     for (JobResult& result : results) {
@@ -230,12 +230,12 @@
     jobs_.erase(found);
     for (Job::Reader& reader : std::exchange(job->readers_, {}))
         reader.done_({});
-    // Its new owner, or the store, knows what became of the job.
+    // Repeats the cancellations, which then reach the new owner or find the job's final state in the store.
     for (Job::Ender& ender : std::exchange(job->enders_, {}))
         end(name, false, ender.asked_, std::move(ender.done_));
 }
 
-// ---- taking over
+// ---- takeover
 
 void JobScheduler::scan(bool stale, TimePoint now)
 {
@@ -283,7 +283,7 @@
         takeOver(name, now);
 }
 
-// The list may be stale, so the head itself is read before anything is done about it.
+// The list may be stale, so the head itself is read before it is acted on.
 void JobScheduler::takeOver(const JobName& name, TimePoint now)
 {
     const auto [claim, isNew] = claiming_.try_emplace(name, now);
@@ -323,7 +323,8 @@
         job->suspect_ = job->isOpen();
 }
 
-// Asks the store who owns the job and what is listed. `known`: this node does, and holds all that is listed.
+// Reads the head from the store to confirm that this node still owns the job. `known` is true if it does and thus has all listed results in
+// memory.
 void JobScheduler::refresh(const JobPtr& job, TimePoint now, std::function<void(bool, TimePoint)> then)
 {
     lookUp(job->name_, now, [this, job, now, then = std::move(then)](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
@@ -347,7 +348,7 @@
     });
 }
 
-// ---- giving away
+// ---- handover
 
 void JobScheduler::beginLeaving(TimePoint now)
 {
@@ -410,9 +411,10 @@
     return wasPaused(now) || (isNewcomer(now) && !job.isConfirmed_) || outlets_.mayBeReplaced_();
 }
 
-// Failure met: a process that starts owns jobs that others, who believe it dead, may be about to claim; so for ten seconds it asked the store
-// for each second read. After a start of everything that was a fifth of a day's calls. The guard: when all know that it lives, it writes itself into
-// the head anew. A claim that is still on its way was meant for an earlier version, and fails.
+// Rewrites the head after a restart, once all nodes have noticed that this process is alive. Until then, nodes that consider this node dead
+// may be about to claim its jobs, so every second read has to query the store. When that lasted for all of the ten seconds after a start, a
+// restart of the whole fleet used a fifth of a day's store calls. After the rewrite, a claim that is still in flight fails, because it
+// requires the earlier version of the head.
 void JobScheduler::confirmOwnership(const JobPtr& job, TimePoint now)
 {
     const bool isDue = !job->isConfirmed_ && isNewcomer(now) && !wasPaused(now) && now - firstUse_ >= settings_.knownAfter_;
@@ -437,7 +439,7 @@
     });
 }
 
-// Whatever comes first after a pause may be a caller's read: it is met here as well as by the tick.
+// Detects that the process was paused. Reads call this as well as the tick, because the first event after a pause may be a caller's read.
 void JobScheduler::noticePause(TimePoint now)
 {
     if (lastTick_ == TimePoint() || now - lastTick_ <= settings_.pauseBound_)
@@ -475,7 +477,7 @@
             handOver(job, now);
             continue;
         }
-        // What another owner has begun meanwhile is not to be run a second time.
+        // Another owner may have started the same items, so they must not run here a second time.
         const bool mustAsk = job->isOpen() && job->suspect_ && now >= job->askAgainAt_;
         if (mustAsk) {
             job->askAgainAt_ = now + settings_.storeRetry_;
@@ -507,7 +509,7 @@
     }
 }
 
-// The head goes last: while it is there, whoever finds it goes on removing.
+// The head is removed last: as long as it exists, any node that finds it continues the removal.
 void JobScheduler::removeExpired(const JobPtr& job, WallTime /*wall*/, TimePoint now)
 {
     const auto ignore = [](const SettledAnswer&, TimePoint) {};
--- a/libs/ledger/src/JobSpool.cpp
+++ b/libs/ledger/src/JobSpool.cpp
@@ -1,4 +1,4 @@
-// Names of what a spool decides, for the log.
+// Event names of the spool for the log.
 #include "ledger/JobSpool.h"
 
 namespace jj {
--- a/libs/ledger/src/KeptJob.cpp
+++ b/libs/ledger/src/KeptJob.cpp
@@ -1,4 +1,4 @@
-// Three lines: checksum of the rest, rank and name and head, items. The parts are JSON, which has no line feeds of its own.
+// Lines of an encoded job: checksum of the other lines, rank, job name, head, items. Head and items are JSON without line feeds.
 #include "ledger/KeptJob.h"
 
 #include "base/Hash.h"
@@ -12,7 +12,7 @@
     constexpr char separator = '\n';
     constexpr int decimal = 10;
 
-    // The part up to the next separator; takes both off.
+    // Returns the text up to the next separator, and removes it and the separator from `text`.
     std::string_view takePart(std::string_view& text)
     {
         const std::size_t end = std::min(text.find(separator), text.size());
--- a/libs/ledger/src/Records.cpp
+++ b/libs/ledger/src/Records.cpp
@@ -1,4 +1,4 @@
-// JSON by Boost.JSON; arrays instead of named fields where an object holds many of the same.
+// Encodes records as JSON with Boost.JSON. Items and results are arrays without field names, because an object holds many of them.
 #include "ledger/Records.h"
 
 #include "objects/ObjectApi.h"
@@ -14,7 +14,7 @@
 
     namespace json = boost::json;
 
-    // Room for the store's own fields and for escapes around the value.
+    // Leaves space for the store's own fields and for escaping of the value.
     constexpr std::size_t pageBytes = maxObjectBytes * 6 / 10;
 
     class LedgerCategory : public std::error_category {
@@ -24,15 +24,15 @@
         {
             switch (static_cast<LedgerError>(value)) {
             case LedgerError::BadRecord:
-                return "the record can't be read";
+                return "the record can't be decoded";
             case LedgerError::BadJobName:
-                return "a job's id is made of letters, digits, '.', '_' and '-'";
+                return "a job id may contain only letters, digits, '.', '_' and '-'";
             case LedgerError::NoItems:
-                return "a job needs an item";
+                return "a job needs at least one item";
             case LedgerError::DuplicateItem:
                 return "two items have the same id";
             case LedgerError::ItemTooLarge:
-                return "an item is over the store's limit";
+                return "an item exceeds the store's size limit";
             }
             return "unknown error";
         }
@@ -46,7 +46,8 @@
 
     json::string_view toJson(std::string_view text) { return { text.data(), text.size() }; }
 
-    // Boost.JSON's accessors throw on another shape than expected; here that becomes BadRecord.
+    // Parses the text and reads it with `read`. The accessors of Boost.JSON throw if the value has an unexpected type; this returns
+    // BadRecord instead.
     template <class Read>
     auto guarded(std::string_view text, Read read) -> Result<decltype(read(std::declval<const json::value&>()))>
     {
@@ -146,7 +147,7 @@
         head.owner_ = NodeId(object.at("owner").to_number<std::uint64_t>());
         head.total_ = object.at("total").to_number<std::uint32_t>();
         head.itemPages_ = object.at("pages").to_number<std::uint32_t>();
-        // Heads of earlier versions of the program have none.
+        // Heads written by earlier versions have no term.
         if (const json::value* term = object.if_contains("term"))
             head.term_ = term->to_number<std::uint32_t>();
         head.acceptedAt_ = WallTime(std::chrono::milliseconds(object.at("at").to_number<std::int64_t>()));
--- a/libs/ledger/src/SchedulerReads.cpp
+++ b/libs/ledger/src/SchedulerReads.cpp
@@ -1,4 +1,4 @@
-// What callers ask: results, bodies, ends.
+// Calls on behalf of callers: reads of results and item bodies, and cancellation.
 #include "ScheduledJob.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
         return result.item_.size() + result.text_.size() + punctuation;
     }
 
-    // Results from `after` on, as many as fit; at least one if there is one.
+    // Returns the results from position `after` on, as many as fit into `bytes`, but at least one if there is one.
     ReadAnswer sliceOf(const std::vector<JobResult>& results, std::uint32_t total, std::uint32_t after, std::size_t bytes)
     {
         ReadAnswer answer;
@@ -32,9 +32,9 @@
 
 } // namespace
 
-// The head as the store has it now. A job that isn't there may be kept on disks, and may have been brought from there while the answer was
-// on its way: 6 of 20,000 explored schedules told the caller of an acknowledged job that there is none, until both ends of the call
-// counted.
+// Reads the head from the store. A job that isn't there may still be spooled on a disk, or may have been uploaded from a disk while the
+// store's answer was in flight. So mayBeKept_ is checked both before and after the call; with one check alone, 6 of 20,000 explored
+// schedules reported an acknowledged job as missing.
 void JobScheduler::lookUp(const JobName& name, TimePoint now, std::function<void(ReadOutcome, const JobHead&, ObjectVersion, TimePoint)> then)
 {
     const bool mightBeKept = outlets_.mayBeKept_();
@@ -45,7 +45,7 @@
         const Result<JobHead> head = answer.ok() ? decodeHead(answer.answer_.value_) : Result<JobHead>(LedgerError::BadRecord);
         if (!head)
             return then(ReadOutcome::Unsure, {}, ObjectVersion::none(), at);
-        // One that never had all its items was never accepted.
+        // A job whose items never all arrived was never accepted.
         const ReadOutcome outcome = head.value().state_ == JobState::Void ? missing : ReadOutcome::Found;
         then(outcome, head.value(), answer.answer_.version_, at);
     });
@@ -93,15 +93,16 @@
         job->readers_.push_back({ after, std::max(until, now + settings_.readBound_), std::move(done) });
         return;
     }
-    // Once asked isn't enough: others may not have heard yet that this node is back, and take the job after the answer.
+    // One confirmation is not enough: other nodes may not have noticed yet that this node is back, and may take over the job after the
+    // store's answer.
     const bool isOutdated = now - job->checkedAt_ > settings_.trustedFor_ && mayHaveBeenReplaced(*job, now);
     const bool mustAsk = job->isOpen() && !job->isComplete() && (job->suspect_ || isOutdated);
-    // Somebody has seen more than is known here.
+    // The caller has already seen more results than this node has in memory.
     const bool isBehind = after > job->listed_.size() && !job->isComplete();
     if (mustAsk || isBehind) {
         return refresh(job, now, [this, job, after, wait, isBehind, done = std::move(done)](bool known, TimePoint at) {
             if (!known || isBehind) {
-                // What another owner has listed is in the store, and the head tells whose the job is now.
+                // The store holds everything that another owner has listed, and the head names the current owner.
                 return read(job->name_, after, wait, true, at, done);
             }
             readOwned(job, after, wait, at, done);
@@ -193,7 +194,7 @@
             answer.outcome_ = ReadOutcome::Elsewhere;
             return done(std::move(answer));
         }
-        // The items' own pages stay until the job is removed.
+        // The item pages stay in the store until the job is removed.
         auto seek = std::make_shared<std::function<void(std::uint32_t, TimePoint)>>();
         *seek = [this, name, item, head, done, seek](std::uint32_t page, TimePoint then) {
             BodyAnswer found;
@@ -227,17 +228,18 @@
     });
 }
 
-// ---- ends
+// ---- cancellation
 
 void JobScheduler::end(const JobName& name, bool force, TimePoint now, EndDone done)
 {
     const auto found = jobs_.find(name);
     if (found != jobs_.end() && !force) {
         const JobPtr job = found->second;
-        // All results stand in the store, so nothing of the job can run again, whatever its head says.
+        // All results are in the store, so nothing of the job can run again, whatever its head says.
         if (!job->isOpen() || job->isComplete())
             return done({ ReadOutcome::Found, outlets_.self_ });
-        // Runs stop before the acknowledgement, and none starts while the end is on its way: nothing of the job begins after it.
+        // The runs stop before the acknowledgement, and none starts while the head is being updated, so no item starts after the
+        // acknowledgement.
         stopRuns(job, true);
         job->enders_.push_back({ now, std::move(done) });
         return writeEnd(job, now);
@@ -245,22 +247,22 @@
     lookUp(name, now, [this, name, force, now, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint at) {
         if (outcome != ReadOutcome::Found)
             return done({ outcome, {} });
-        // A caller who asks again may have been told nothing, since the mark was missing.
+        // The first call may not have been acknowledged because its mark was not written, so the mark is written again.
         if (head.state_ == JobState::Ended && force)
             return markEnd(name, now + settings_.readBound_, done);
         if (head.state_ != JobState::Open)
             return done({ ReadOutcome::Found, head.owner_ });
         if (!force && owned(name))
-            return end(name, false, now, done); // it became this node's meanwhile
+            return end(name, false, now, done); // this node became the owner in the meantime
         if (!force && head.owner_ != outlets_.self_ && outlets_.isLive_(head.owner_))
             return done({ ReadOutcome::Elsewhere, head.owner_ });
         endInStore(name, at, now + settings_.readBound_, done);
     });
 }
 
-// Failure met: a caller ended a job in the moment in which its owner wrote another change of the head (done, or handed over), and was told
-// that nobody can tell, though the store answered. The callers wait until that change has settled: then the job is over, is another
-// node's (drop() asks anew), or the end is written.
+// Writes the cancellation into the head. If another change of the head (completion or handover) is pending, the callers wait until it has
+// settled, because an update sent now would conflict with it, and callers would get Unsure although the store works. Afterwards the
+// job is complete, or belongs to another node (drop() repeats the call), or the cancellation is written.
 void JobScheduler::writeEnd(const JobPtr& job, TimePoint now)
 {
     if (job->enders_.empty() || job->stateChanging_)
@@ -290,7 +292,7 @@
         ender.done_(answer);
 }
 
-// Who has waited for as long as a read may is told that nobody can tell; an end that is on its way goes on.
+// Answers callers that have waited for readBound_ with Unsure. A cancellation that is in flight continues.
 void JobScheduler::answerLateEnders(const JobPtr& job, TimePoint now)
 {
     std::vector<Job::Ender> late;
@@ -304,9 +306,10 @@
         ender.done_({});
 }
 
-// Failure met: the owner can't be reached from here, or was believed dead and replaced; it lives, reaches the engines, and goes on starting items of a job whose end was acknowledged until
-// it looks at the heads again, which may take 4 s and a stale list. The guard: the end leaves a mark of a kind that owners watch, before
-// it is acknowledged. Such ends are few, so the watch costs a call each 15 s.
+// Writes a mark that the owner watches for, before a cancellation that bypasses it is acknowledged. The owner may be unreachable from this
+// node, or may have been considered dead and replaced, while it is alive and reaches the engines. Without the mark it would go on starting
+// items of the cancelled job until it next lists the heads, which may take 4 s and may return a stale list. Such cancellations are rare, so
+// the watch costs one call every 15 s.
 void JobScheduler::markEnd(const JobName& name, TimePoint until, const EndDone& done)
 {
     store(ObjectCall::create(endMarkKey(name), "{}"), CallClass::Accept, until, [done](const SettledAnswer& answer, TimePoint) {
@@ -318,7 +321,7 @@
 void JobScheduler::endMarked(const JobName& name, TimePoint now)
 {
     const auto found = jobs_.find(name);
-    // Of a job that nobody has any more the mark is of no use; the one who would own it clears up.
+    // If no node has the job in memory any more, its mark is of no use, and the node that would own the job removes it.
     if (found == jobs_.end() && outlets_.preferredOwner_(name, outlets_.self_) != outlets_.self_)
         return;
     const auto clear = [this, name](bool, TimePoint at) { store(ObjectCall::remove(endMarkKey(name)), CallClass::Background, at + settings_.patience_, [](const SettledAnswer&, TimePoint) {}); };
@@ -327,7 +330,8 @@
     refresh(found->second, now, clear);
 }
 
-// The owner can't be reached, so the head is changed under its version; the owner meets that version at its next change or scan.
+// Cancels the job by updating its head, because the owner can't be reached. The update requires an unchanged version. The owner notices it
+// at its next update of the head or its next scan.
 void JobScheduler::endInStore(const JobName& name, TimePoint now, TimePoint until, EndDone done)
 {
     lookUp(name, now, [this, name, until, done = std::move(done)](ReadOutcome outcome, JobHead head, ObjectVersion version, TimePoint) {
--- a/libs/ledger/src/SchedulerRuns.cpp
+++ b/libs/ledger/src/SchedulerRuns.cpp
@@ -1,11 +1,11 @@
-// Items that run, and how their results get into the store.
+// Runs of items, and how their results are committed to the store.
 #include "ScheduledJob.h"
 
 #include <algorithm>
 
 namespace jj {
 
-// Late items first would cost those that can still be in time, so they come after all others.
+// Late items come after all others, because running them first would make items late that can still finish in time.
 ItemUrgency JobScheduler::urgencyOf(const Job& job, const Item& item, TimePoint now) const
 {
     constexpr double leastRest = 0.1;
@@ -14,9 +14,9 @@
     const Duration left = job.due_ - now;
     if (left < fromSeconds(toSeconds(rest) * settings_.hopelessPart_))
         return ItemUrgency::Late;
-    // Failure met: when more is wanted than there is, items wait until they can just be in time if nothing interrupts them. They begin, give way
-    // to a burst of questions, and end too late; nearly all are late by a little, and the work on them is of no use. What can't
-    // be in time at the pace of late stands back, so that what has begun is finished.
+    // Items that haven't started are deferred if recent items with as little time left finished late. Under overload, items wait until they
+    // can only just finish in time without an interruption. They then start, yield to a burst of online requests, and finish late. Nearly
+    // all items end up slightly late, so the work on them is wasted. Deferring them lets the items that have started finish.
     if (item.begunAt_ == TimePoint() && item.events_ == 0 && left < fromSeconds(toSeconds(rest) * meanStretch_))
         return ItemUrgency::Doubtful;
     return left < rest + settings_.urgentMargin_ ? ItemUrgency::Urgent : ItemUrgency::Relaxed;
@@ -75,7 +75,7 @@
             const Item& item = job->items_[index];
             if (item.state_ != ItemState::Waiting || now < item.notBefore_)
                 continue;
-            // Of those that can be in time the one that is due first.
+            // Items that can finish in time are ordered by their due time.
             const ItemUrgency stage = std::max(urgencyOf(*job, item, now), ItemUrgency::Urgent);
             const bool isBetter = !chosen || (stage != chosenStage ? stage < chosenStage : job->due_ < chosen->due_);
             if (!isBetter)
@@ -93,7 +93,7 @@
     Item& item = chosen->items_[place];
     auto body = fromBase64(item.item_.body_);
     if (service.empty() || !body) {
-        // No configuration carries it any more, or its body was never one.
+        // No configuration routes the item any more, or its body isn't valid base64.
         finishItem(chosen, place, ResultState::Errored, now);
         return std::nullopt;
     }
@@ -140,7 +140,7 @@
     };
     switch (end) {
     case RunEnd::Completed:
-        // An answer without any event is no output of an item.
+        // An answer without events is not a valid output of an item.
         if (item.events_ == 0)
             return retryLater();
         learnStretch(item, now);
@@ -166,7 +166,7 @@
 void JobScheduler::learnStretch(const Item& item, TimePoint now)
 {
     constexpr double meanGain = 0.1;
-    // One item that hung for long says little of the next ones.
+    // Limits the weight of a single item that hung for a long time.
     constexpr double mostStretch = 4;
     const double stretch = toSeconds(now - item.begunAt_) / std::max(0.001, toSeconds(runTime_));
     meanStretch_ += meanGain * (std::clamp(stretch, 1.0, mostStretch) - meanStretch_);
@@ -207,10 +207,11 @@
 
 void JobScheduler::commitIfDue(const JobPtr& job, TimePoint now)
 {
-    // Whoever may have been replaced looks at the head first: behind another owner's fence nothing of this one may be listed.
+    // A node that may have been replaced reads the head first, because it must not list results after another owner's fence.
     if (job->pending_.empty() || job->isCommitting_ || !job->isOpen() || job->suspect_ || now < job->commitAgainAt_)
         return;
-    // Failure met: an item that engines refuse for good was not listed yet when its job changed hands, and each owner sent it anew.
+    // Commits an errored item at once, so that an item that engines reject for good isn't sent again by the next owner when the job is
+    // handed over or taken over.
     const bool hasErrored = std::any_of(job->pending_.begin(), job->pending_.end(), [](const JobResult& result) { return result.state_ == ResultState::Errored; });
     const bool isLast = job->listed_.size() + job->pending_.size() >= job->head_.total_;
     const bool isLate = now + settings_.dueMargin_ >= job->due_;
@@ -249,7 +250,7 @@
     job->commitAgainAt_ = now + settings_.storeRetry_;
 }
 
-// Another owner has written this page: what it lists stands, and this node goes on behind it, if it still owns the job.
+// Another owner has written this page. Its results remain; this node reads them and continues after them if it still owns the job.
 void JobScheduler::settleConflict(const JobPtr& job, TimePoint now)
 {
     note(SchedulerNote::ConflictMet, job->name_, {}, job->pages_);
@@ -303,7 +304,7 @@
             job->headVersion_ = answer.answer_.version_;
             return then(true, at);
         }
-        // Another node changed the head, or the store is away: what stands is read before it is tried again.
+        // Another node changed the head, or the store is unavailable. The head is read before the update is retried.
         job->commitAgainAt_ = at + settings_.storeRetry_;
         refresh(job, at, [](bool, TimePoint) {});
         then(false, at);
--- a/libs/ledger/tests/CommitTest.cpp
+++ b/libs/ledger/tests/CommitTest.cpp
@@ -1,14 +1,14 @@
-// How many pages of results a job costs, and who waits for them.
+// The number of result pages that a job costs, and the delay that page sharing causes.
 //
-// The load: a job of ten items that take 5 s each, four of them at a time, as engines with 8 slots work through the gaps between bursts of
-// questions; due 18 s after it came. The store's write rate is shared by the whole fleet.
+// The first test's load: ten items of 5 s each, four at a time, which is what engines with 8 slots complete between bursts of online
+// requests. All jobs are due 18 s after their submission. The store's write rate is shared by the whole fleet.
 #include "LedgerWorld.h"
 
 using namespace jj;
 
 namespace {
 
-// A run is three events and its end, the same time apart.
+// Returns the pace for runs of the given duration. A run consists of three events and its end at equal intervals.
 constexpr int paceOf(Duration run) { return static_cast<int>(run / LedgerWorld::step / (LedgerWorld::eventsPerItem + 1)); }
 
 std::size_t pagesOf(LedgerWorld& world, const JobName& job)
@@ -21,13 +21,13 @@
 
 } // namespace
 
-TEST_CASE("ledger: results that finish within a second share a page, and the last one waits for none")
+TEST_CASE("ledger: results that finish within a second share a page, and the last one is committed at once")
 {
     LedgerWorld world(31, 2, SchedulerSettings());
     world.pace_ = paceOf(5s);
     world.slots_ = 1;
     world.submit(0, "j", 10, 1);
-    // Slots come free one after the other, so results are ready 250 ms apart, four in a row.
+    // Slots become free one after the other, so results are ready in groups of four, 250 ms apart.
     for (; world.slots_ < 4; ++world.slots_)
         world.advance(250ms);
     world.advance(14700ms);
@@ -37,7 +37,7 @@
     world.checkResults("j");
 }
 
-// Guards against a write of the store for each second of a job that has much time left.
+// Guards against one store write per second for a job that has much time left.
 TEST_CASE("ledger: results that are ready long before their job is due share pages over two seconds")
 {
     LedgerWorld world(33, 2, SchedulerSettings());
@@ -50,8 +50,8 @@
     world.checkResults("j");
 }
 
-// Guards against an item that engines refuse for good and that each new owner sends again: its end stands in the store before anything else.
-TEST_CASE("ledger: an item that can never be done is listed at once")
+// Guards against each new owner sending an item again that engines reject for good: its result must be stored immediately.
+TEST_CASE("ledger: an item that can never succeed is listed at once")
 {
     LedgerWorld world(34, 2, SchedulerSettings());
     world.pace_ = 5; // runs of 100 ms
@@ -65,14 +65,14 @@
     CHECK(world.stored("j").front().state_ == ResultState::Errored);
 }
 
-// A result is ready just before its job is due. Held back to share a page it would come late, though it was there in time.
+// Guards against a result that is ready just before its job is due being delayed, and thus late, because it waits to share a page.
 TEST_CASE("ledger: a result that is ready just before its job is due is listed at once")
 {
     LedgerWorld world(32, 2, SchedulerSettings());
     world.pace_ = paceOf(5800ms);
     world.slots_ = 1;
     world.submit(0, "j", 10, 1);
-    // Runs of 5.8 s one after the other: the third ends 0.6 s before the job is due.
+    // Runs of 5.8 s follow each other, so the third one ends 0.6 s before the job is due.
     world.advance(17600ms);
     CHECK(world.stored("j").size() == 3);
 }
--- a/libs/ledger/tests/EndTest.cpp
+++ b/libs/ledger/tests/EndTest.cpp
@@ -1,11 +1,11 @@
-// Jobs that their callers end: by their owner, past it, and while something else happens to the job.
+// Cancellation of jobs by their callers: by the owner, bypassing the owner, and concurrent with other changes of the job.
 #include "LedgerWorld.h"
 
 using namespace jj;
 
-// A clerk ends a job. While the end is on its way to the store, slots are free, and the owner starts items of the job again. When the
-// end is written, the job's items go, and the next event of such a run speaks of an item that isn't there: the process crashes.
-TEST_CASE("ledger: nothing of a job starts while its end is on its way to the store")
+// Guards against starting items of a job while the update of the head that cancels it is in flight. Slots are free during that time. When
+// the update was written, the items were deleted, and the next event of such a run referred to a deleted item and crashed the process.
+TEST_CASE("ledger: no item of a job starts while its cancellation is being written")
 {
     LedgerWorld world(5, 1);
     world.store_.faults().delay_ = 30ms;
@@ -23,9 +23,9 @@
     CHECK(world.read(0, "j").total_ == 20);
 }
 
-// A clerk reads the last results of a job and ends it in the same moment. Its owner is just then writing the head that says the job is
-// done, so it turned the end away as "can't be asked now", though nothing of the job is left to run and the store answers.
-TEST_CASE("ledger: an end that meets the owner's own change of the head is acknowledged")
+// Guards against answering a cancellation with Unsure while the owner is writing the head that marks the job as done. The store
+// answers, and nothing of the job is left to run.
+TEST_CASE("ledger: a cancellation concurrent with the owner's update of the head is acknowledged")
 {
     LedgerWorld world(14, 1);
     world.submit(0, "j", 2, 0);
@@ -42,9 +42,9 @@
     world.checkResults("j");
 }
 
-// A clerk's end of a job is on its way to the store when the same call comes again, since the first answer took long. The second caller
-// was told that the job can't be asked for, and its client went on asking.
-TEST_CASE("ledger: a second end waits for the first")
+// Guards against answering a repeated cancellation with Unsure while the first one is still being written, which made the client
+// repeat the call.
+TEST_CASE("ledger: a repeated cancellation waits for the first one")
 {
     LedgerWorld world(15, 1);
     world.store_.faults().delay_ = 200ms;
@@ -58,13 +58,13 @@
     CHECK(world.notes_[SchedulerNote::JobEnded] == 1);
 }
 
-// The job's owner leaves and hands the job to another host when its end arrives: the end follows the job to its new owner. When the store
-// goes silent under that change, the caller hears within the bound of a read that nobody can tell.
-TEST_CASE("ledger: an end that meets a handover is sent on, or answered in time")
+// The owner is handing the job over when the cancellation arrives. The caller is directed to the new owner. If the store stops answering
+// during the handover, the caller gets Unsure after the timeout of a read.
+TEST_CASE("ledger: a cancellation during a handover is redirected to the new owner or answered in time")
 {
     LedgerWorld world(16);
     world.store_.faults().delay_ = 200ms;
-    world.pace_ = 1000; // no result is under way, so the handover begins at once
+    world.pace_ = 1000; // no result is pending, so the handover begins at once
     world.submit(1, "j", 20, 0);
     world.advance(1s);
     world.leaving_.insert(world.host(0).id_);
@@ -89,7 +89,7 @@
     }
 }
 
-TEST_CASE("ledger: an end is acknowledged again, at any node")
+TEST_CASE("ledger: a repeated cancellation is acknowledged by every node")
 {
     LedgerWorld world(6);
     world.submit(0, "j", 20, 1);
@@ -107,9 +107,9 @@
     CHECK(unknown->outcome_ == ReadOutcome::Missing);
 }
 
-// The owner can't be reached by the node that takes the end, and goes on running items until its next look at the heads, seconds after the
-// caller was told that nothing runs any more. The mark of such an end tells it at once.
-TEST_CASE("ledger: an owner that sees the mark of an end stops at once and clears it")
+// Guards against an owner that goes on running items of a cancelled job until its next scan, seconds after the acknowledgement, because the
+// node that took the call couldn't reach it. The mark of the cancellation makes the owner stop at once.
+TEST_CASE("ledger: an owner that sees a cancellation mark stops the job's runs and removes the mark")
 {
     LedgerWorld world(18);
     world.slots_ = 1;
@@ -126,7 +126,7 @@
     world.advance(50ms);
     CHECK(world.host(1).runs_.empty());
     CHECK_FALSE(world.store_.core().objects().contains(endMarkKey("j")));
-    // The same call again, when the first answer was lost, marks again: the owner may have missed the first one.
+    // If the first answer was lost, the repeated call writes the mark again, because the owner may have missed the first mark.
     ended.reset();
     world.scheduler(0).end("j", true, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
     world.advance(100ms);
@@ -135,8 +135,9 @@
     CHECK(world.store_.core().objects().contains(endMarkKey("j")));
 }
 
-// Guards against an owner that was believed dead, lives, and goes on running items of a job whose end its successor has acknowledged.
-TEST_CASE("ledger: an end at a host that took the job over stops the owner before it")
+// Guards against an owner that was considered dead but is alive, and goes on running items of a job after its successor acknowledged a
+// cancellation.
+TEST_CASE("ledger: a cancellation after a takeover stops the former owner")
 {
     LedgerWorld world(21);
     world.slots_ = 1;
@@ -159,8 +160,9 @@
     CHECK(world.host(1).runs_.empty());
 }
 
-// The mark can't be written. "Ended" would promise that nothing starts any more, so the caller hears that nobody can tell and asks again.
-TEST_CASE("ledger: an end past the owner without its mark is not acknowledged")
+// Guards against acknowledging a cancellation whose mark can't be written: the owner may still start items, so the caller must get
+// Unsure and repeat the call.
+TEST_CASE("ledger: a cancellation that bypasses the owner is not acknowledged without its mark")
 {
     LedgerWorld world(19);
     world.pace_ = 40;
@@ -173,15 +175,15 @@
     while (stateInStore() == JobState::Open)
         world.advance(LedgerWorld::step);
     REQUIRE(world.notes_[SchedulerNote::JobEnded] == 0);
-    world.host(0).storeCut_ = true; // its answer arrives, and nothing leaves any more
+    world.host(0).storeCut_ = true; // the answer to the pending call arrives, but no further call reaches the store
     world.advance(2s);
     REQUIRE(ended);
     CHECK(ended->outcome_ == ReadOutcome::Unsure);
 }
 
-// The owner can't be reached by the node that takes the end, so the end is written past it. The owner still runs items: its next look
-// at the heads, or its next write, tells it.
-TEST_CASE("ledger: an owner stops a job that was ended past it")
+// The node that takes the cancellation can't reach the owner and updates the head in the store. The owner is still running items, and stops
+// them at its next scan.
+TEST_CASE("ledger: an owner stops a job that was cancelled bypassing it")
 {
     LedgerWorld world(7);
     world.slots_ = 1;
--- a/libs/ledger/tests/ExploreTest.cpp
+++ b/libs/ledger/tests/ExploreTest.cpp
@@ -1,6 +1,6 @@
-// Many schedules of the job core, each from a seed: jobs come in and are read, ended and sent again while hosts die, stand still, are cut
-// off or leave, one of them loses its disk again and again, and the store loses answers, is slow or away. Whatever happens, the promises
-// to callers hold.
+// Runs many randomized schedules of the job scheduler, each from its own seed. Jobs are submitted, read, cancelled and submitted again
+// while hosts crash, pause or are considered dead, one of them repeatedly loses its disk, transfers of jobs are lost, and the store loses
+// answers, is slow or is unavailable. The guarantees to callers must hold in each schedule.
 #include "LedgerWorld.h"
 
 #include <chrono>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A sanitized build runs ten times slower and more.
+// A sanitized build is at least ten times slower.
 #ifdef JJ_SANITIZED
 constexpr int schedules = 1'000;
 #else
@@ -17,13 +17,13 @@
 #endif
 constexpr std::size_t hosts = 3;
 
-// What one reader has seen of a job; nothing of it may ever differ.
+// What a caller has seen of a job. Later reads must not contradict it.
 struct Seen {
     std::vector<JobResult> results_;
     bool acknowledged_ = false;
     std::size_t submissions_ = 0;
-    std::size_t refusals_ = 0; // of them those answered "not run"; one whose node died was told nothing
-    bool endAsked_ = false; // an end without an answer may still take effect
+    std::size_t refusals_ = 0; // number of submissions answered with NotAccepted; a submission whose node died gets no answer
+    bool endAsked_ = false; // a cancellation without an answer may still take effect
 };
 
 class Schedule {
@@ -83,7 +83,7 @@
         case 1:
             if (!host.alive_) {
                 host.paused_ = false;
-                // Two copies bear the loss of one disk at a time.
+                // The two copies of a job tolerate the loss of one disk, so only one host ever loses its disk.
                 if (place == weakDisk_ && pick(2) == 0)
                     world_.wipe(place);
                 world_.start(place);
@@ -164,7 +164,7 @@
 
     void saw(const JobName& job, const ReadAnswer& answer, bool wasAcknowledged)
     {
-        // An acknowledged job is never "no such job".
+        // A read never reports an acknowledged job as missing.
         if (answer.outcome_ == ReadOutcome::Missing)
             CHECK_FALSE(wasAcknowledged);
         if (answer.outcome_ != ReadOutcome::Found)
@@ -207,7 +207,7 @@
             CHECK(std::equal(seen.results_.begin(), seen.results_.end(), stored.begin()));
             if (seen.acknowledged_ && !seen.endAsked_)
                 CHECK(stored.size() == 2 + static_cast<std::size_t>(job.back() - '0') * 3);
-            // "Not run" was the only answer that this job ever got.
+            // All submissions of this job were refused as "not run", so none of its items may have run.
             if (seen.submissions_ > 0 && seen.refusals_ == seen.submissions_) {
                 for (const std::string& item : world_.starts_)
                     CHECK_FALSE(item.starts_with(job + "-"));
@@ -223,7 +223,7 @@
 
 } // namespace
 
-TEST_CASE("ledger: twenty thousand schedules lose nothing and double nothing")
+TEST_CASE("ledger: no randomized schedule loses or duplicates results")
 {
     for (int seed = 1; seed <= schedules; ++seed) {
         CAPTURE(seed);
--- a/libs/ledger/tests/LedgerWorld.h
+++ b/libs/ledger/tests/LedgerWorld.h
@@ -1,4 +1,5 @@
-// Some schedulers over one store in virtual time, engines that finish an item after a while, and callers that check what they see.
+// Simulates several hosts with a scheduler each over one store in virtual time, with engines that take a while for an item, and callers
+// that check what they read.
 #pragma once
 
 #include "ledger/Acceptor.h"
@@ -18,7 +19,7 @@
 
 namespace jj {
 
-// A disk that outlives the process, and is empty after a loss.
+// A disk that survives the end of the simulated process, and is empty after a disk loss.
 struct MemoryDisk {
     std::shared_ptr<std::map<std::string, std::string>> texts_ = std::make_shared<std::map<std::string, std::string>>();
 
@@ -52,31 +53,32 @@
 public:
     static constexpr std::uint32_t eventsPerItem = 3;
     static constexpr Duration step = 5ms;
-    // Disks that may be lost at a time, and one more.
+    // The number of disks that may be lost at a time, plus one.
     static constexpr std::size_t copies = 2;
     static constexpr Duration keepBound = 600ms;
     static constexpr WallTime wallStart { std::chrono::milliseconds(1'000'000'000) };
 
     struct Host {
         NodeId id_;
-        bool alive_ = true; // its process runs
-        bool paused_ = false; // stands still
-        bool storeCut_ = false; // its calls reach the store no more
+        bool alive_ = true; // the process runs
+        bool paused_ = false; // the process is suspended
+        bool storeCut_ = false; // calls to the store are dropped
         std::unique_ptr<CallQueue> queue_;
         std::unique_ptr<JobScheduler> scheduler_;
         std::unique_ptr<Acceptor> acceptor_;
         MemoryDisk disk_;
         std::unique_ptr<JobSpool<MemoryDisk>> spool_;
         std::unique_ptr<JobIntake> intake_;
-        std::uint64_t life_ = 0; // what belongs to an earlier process is dropped
-        std::vector<ItemRun> runs_; // at engines
-        std::map<RunId, std::uint32_t> sent_; // events of a run so far
-        std::set<NodeId> deadTo_; // hosts that it believes dead
-        bool mayBeReplaced_ = false; // by what its fleet says
-        std::vector<std::function<void()>> held_; // what came while it was paused
+        std::uint64_t life_ = 0; // incremented with each process; callbacks of earlier processes are ignored
+        std::vector<ItemRun> runs_; // runs on the engines
+        std::map<RunId, std::uint32_t> sent_; // number of steps that each run has taken
+        std::set<NodeId> deadTo_; // hosts that this host considers dead
+        bool mayBeReplaced_ = false; // as reported by the host's fleet view
+        std::vector<std::function<void()>> held_; // messages that arrived while the host was paused
     };
 
-    // Items of these worlds take some 15 ms. A window in that measure gives a job several pages, so that losses fall between two of them.
+    // Settings with a short commit window. Items take about 15 ms here, so a job gets several pages, and failures can happen between two
+    // pages.
     static SchedulerSettings quickPages()
     {
         SchedulerSettings settings;
@@ -135,7 +137,7 @@
         };
         outlets.note_ = [this](const SchedulerEvent& event) { ++notes_[event.note_]; };
         outlets.serviceOf_ = [this](std::string_view, std::string_view) { return service_; };
-        // Hosts tell each other within milliseconds whether they keep jobs.
+        // In reality, hosts notify each other within milliseconds whether they have spooled jobs.
         outlets.mayBeReplaced_ = [this, place] { return hosts_[place]->mayBeReplaced_; };
         outlets.mayBeKept_ = [this] { return std::any_of(hosts_.begin(), hosts_.end(), [](const auto& each) { return !each->disk_.texts_->empty(); }); };
         host.scheduler_ = std::make_unique<JobScheduler>(scheduler_, std::move(outlets));
@@ -143,10 +145,10 @@
         startIntake(place, send);
     }
 
-    // The host comes back with an empty disk.
+    // Empties the host's disk.
     void wipe(std::size_t place) { hosts_[place]->disk_.texts_->clear(); }
 
-    // A caller's submission as an entry takes it: into the store, or onto disks.
+    // Submits a job through the host's intake, which writes it to the store or spools it.
     void take(std::size_t place, const JobName& job, std::uint32_t items)
     {
         hosts_[place]->intake_->submit(submission(job, items), 2s, now_, wall(), [this, job](const IntakeAnswer& answer, TimePoint) { outcomes_[job].push_back(answer.outcome_); });
@@ -161,10 +163,10 @@
         ++host.life_;
     }
 
-    // Everybody else believes the host dead, or alive again.
-    // One host takes another one for dead, which goes on.
+    // Makes one host consider another one dead, although that one continues to run.
     void believeDead(std::size_t believer, std::size_t host) { hosts_[believer]->deadTo_.insert(hosts_[host]->id_); }
 
+    // Makes all other hosts consider this host dead, or alive again.
     void bury(std::size_t place, bool dead = true)
     {
         for (auto& host : hosts_) {
@@ -181,7 +183,7 @@
     void wake(std::size_t place)
     {
         hosts_[place]->paused_ = false;
-        // What came while it stood still is there all at once, before its own tick has seen the gap.
+        // Messages held during the pause are delivered before the first tick, which detects the gap.
         for (const auto& action : std::exchange(hosts_[place]->held_, {}))
             action();
     }
@@ -199,7 +201,7 @@
         return submission;
     }
 
-    // Submits through one host, for another one to own. The outcome stands in outcomes_ when it is known.
+    // Submits a job through one host, to be owned by another one. The outcome is appended to outcomes_ when it is known.
     void submit(std::size_t place, const JobName& job, std::uint32_t items, std::size_t owner)
     {
         Host& host = *hosts_[place];
@@ -213,7 +215,7 @@
         });
     }
 
-    // One step of virtual time: the store, then each host's tick, its engines and its queue.
+    // Advances virtual time in steps. In each step the store advances first, then each host runs its engines, its ticks and its call queue.
     void advance(Duration time)
     {
         const TimePoint end = now_ + time;
@@ -238,7 +240,7 @@
         return *got;
     }
 
-    // All results as the store has them.
+    // Returns all results that are in the store.
     std::vector<JobResult> stored(const JobName& job)
     {
         std::vector<JobResult> results;
@@ -260,7 +262,7 @@
         return text;
     }
 
-    // No item stands twice, and completed texts are whole.
+    // Checks that no item has two results, and that the texts of completed items are complete.
     void checkResults(const JobName& job)
     {
         std::set<std::string> seen;
@@ -279,15 +281,15 @@
     std::map<SchedulerNote, int> notes_;
     std::map<SpoolNote, int> spoolNotes_;
     std::optional<std::string> service_ = "s";
-    std::vector<std::string> starts_; // items as they began to run at an engine, once a run
-    std::size_t slots_ = 4; // runs that a host has at a time
-    int pace_ = 4; // steps between two events of a run
+    std::vector<std::string> starts_; // the item of each run that was started, in order
+    std::size_t slots_ = 4; // maximum number of concurrent runs per host
+    int pace_ = 4; // number of steps between two events of a run
     std::function<RunEnd(const ItemRun&)> endOf_ = [](const ItemRun&) { return RunEnd::Completed; };
     bool loseTransfers_ = false;
-    std::chrono::milliseconds wallShift_ {}; // of all hosts' time of day
+    std::chrono::milliseconds wallShift_ {}; // offset of the wall clock of all hosts
 
 private:
-    // Nothing says that the store is away but that it gave no answer for a while.
+    // A host can only tell that the store is unavailable from missing answers.
     bool storeLooksAway(std::size_t place) { return hosts_[place]->storeCut_ || store_.core().isOut(); }
 
     void startIntake(std::size_t place, const LedgerStore& send)
@@ -332,7 +334,7 @@
         return found;
     }
 
-    // An answer that comes after the bound is of no use; the copy may stand all the same.
+    // An answer after the timeout is ignored, but the host may have written the copy nevertheless.
     void keep(NodeId to, KeptJob job, std::function<void(KeepOutcome, TimePoint)> done)
     {
         auto open = std::make_shared<std::function<void(KeepOutcome, TimePoint)>>(std::move(done));
@@ -353,7 +355,7 @@
         }
     }
 
-    // To the host as it is now; a host that stands still gets it when it wakes, a process that ended never.
+    // Runs the action on the host's current process. A paused host runs it when it resumes; a host without a process drops it.
     void at(std::size_t place, std::function<void()> action)
     {
         Host& host = *hosts_[place];
@@ -367,7 +369,7 @@
 
     NodeId preferred(std::size_t place) const
     {
-        // The first host that it believes alive and that doesn't leave.
+        // Returns the first live host that this host doesn't consider dead and that isn't leaving.
         for (const auto& host : hosts_) {
             if (host->alive_ && !hosts_[place]->deadTo_.contains(host->id_) && !leaving_.contains(host->id_))
                 return host->id_;
@@ -433,7 +435,7 @@
 
 private:
     std::vector<std::unique_ptr<Host>> hosts_;
-    std::deque<std::pair<TimePoint, std::function<void(KeepOutcome, TimePoint)>>> asks_; // open ones, by the time of their bound
+    std::deque<std::pair<TimePoint, std::function<void(KeepOutcome, TimePoint)>>> asks_; // pending ones, ordered by timeout
     TimePoint now_ { 1s };
 };
 
--- a/libs/ledger/tests/ReplacedOwnerTest.cpp
+++ b/libs/ledger/tests/ReplacedOwnerTest.cpp
@@ -1,27 +1,27 @@
-// What callers read of an owner that was replaced without knowing it.
+// Reads from an owner that was replaced without noticing.
 #include "LedgerWorld.h"
 
 using namespace jj;
 
-// A node can't hear some of its peers. They believe it dead, take its job over and list results, which a caller reads. The caller's next
-// read reaches the old owner, which knows of nothing: a result that was there would be missing.
-TEST_CASE("ledger: what the new owner has listed is known to the old one a second later")
+// Guards against a read that misses results which the caller has already seen. A node doesn't receive some of its peers' messages; they
+// consider it dead, take over its job and list results. The caller sees these at the new owner, and its next read reaches the former owner.
+TEST_CASE("ledger: the former owner returns results of the new owner within a second")
 {
     constexpr Duration settled = 1s;
     LedgerWorld world(41, 2, SchedulerSettings());
     world.pace_ = 5; // runs of 100 ms
     world.slots_ = 0;
-    // Who was there all the while trusts itself but for what the fleet says.
+    // An owner that was available throughout doesn't query the store unless its fleet view reports that it may have been replaced.
     world.advance(SchedulerSettings().newcomer_ + 1s);
     world.submit(0, "j", 2, 1);
     world.advance(60ms);
     world.host(1).mayBeReplaced_ = true;
-    // Its own runs never end, so it learns nothing from its commits.
+    // The former owner's runs never end, so it learns nothing from commits of its own.
     const auto readAtOld = [&world] {
         world.host(1).runs_.clear();
         return world.read(1, "j");
     };
-    // The store has just said that the job is still its own.
+    // The store has just confirmed this node's ownership.
     world.advance(SchedulerSettings().trustedFor_ + 50ms);
     REQUIRE(readAtOld().outcome_ == ReadOutcome::Found);
     world.bury(1);
@@ -46,8 +46,8 @@
     CHECK(comparedWithListed > 50);
 }
 
-// Guards against a store that is asked for each second read of every job for ten seconds, when all processes have started at once.
-TEST_CASE("ledger: an owner that started again asks the store no more once it has written itself into the head anew")
+// Guards against querying the store for every second read of every job during the ten seconds after a simultaneous start of all processes.
+TEST_CASE("ledger: a restarted owner stops querying the store after it has rewritten the head")
 {
     LedgerWorld world(43, 2, SchedulerSettings());
     world.pace_ = 5000;
@@ -68,8 +68,9 @@
     CHECK(callsOf(4s) == 0);
 }
 
-// Guards against a claim that was sent while its sender believed the owner dead, and arrives when the owner has stopped asking.
-TEST_CASE("ledger: a claim that was on its way fails once the owner has written itself into the head anew")
+// Guards against a claim that was sent while its sender considered the owner dead, and arrives after the owner has stopped querying the
+// store.
+TEST_CASE("ledger: a claim in flight fails after the owner has rewritten the head")
 {
     LedgerWorld world(44, 2, SchedulerSettings());
     world.pace_ = 5000;
--- a/libs/ledger/tests/SchedulerTest.cpp
+++ b/libs/ledger/tests/SchedulerTest.cpp
@@ -1,9 +1,9 @@
-// A job's way: taken in, run, read, ended, handed over, taken over.
+// Life of a job: submission, runs, reads, handover, takeover, removal.
 #include "LedgerWorld.h"
 
 using namespace jj;
 
-TEST_CASE("ledger: a job is accepted, run, listed and done")
+TEST_CASE("ledger: a job is accepted, runs, and completes with all results listed")
 {
     LedgerWorld world(1);
     world.submit(0, "j", 10, 1);
@@ -16,11 +16,11 @@
     CHECK(answer.next_ == 10);
     world.checkResults("j");
     CHECK(world.notes_[SchedulerNote::JobDone] == 1);
-    // Results come back from any node, by way of the store.
+    // Any node can return the results from the store.
     CHECK(world.read(0, "j", 4, {}, true).results_.size() == 6);
 }
 
-TEST_CASE("ledger: a reader that waits hears of the next result")
+TEST_CASE("ledger: a waiting reader receives the next result")
 {
     LedgerWorld world(2);
     world.submit(0, "j", 1, 1);
@@ -32,7 +32,7 @@
     CHECK(empty.results_.empty());
 }
 
-TEST_CASE("ledger: a job that comes again is the same job")
+TEST_CASE("ledger: a job submitted twice is the same job")
 {
     LedgerWorld world(3);
     world.submit(0, "j", 3, 1);
@@ -44,7 +44,7 @@
     world.checkResults("j");
 }
 
-TEST_CASE("ledger: submissions that can't be taken are refused with their fault")
+TEST_CASE("ledger: invalid submissions are refused with their error")
 {
     LedgerWorld world(4);
     const auto outcomeOf = [&world](JobSubmission job) {
@@ -63,7 +63,7 @@
     CHECK(outcomeOf(large).failure_.code_ == LedgerError::ItemTooLarge);
 }
 
-TEST_CASE("ledger: an item that fails is listed as errored after its attempts, one that is impossible at once")
+TEST_CASE("ledger: an item that fails is listed as errored after its attempts, one that can never succeed at once")
 {
     LedgerWorld world(8);
     std::map<std::string, int> runs;
@@ -83,7 +83,7 @@
     CHECK(world.notes_[SchedulerNote::JobDone] == 1);
 }
 
-TEST_CASE("ledger: an item goes on behind its last event, or begins anew when the engine is out of step")
+TEST_CASE("ledger: an item resumes after its last event, or starts over when the engine can't resume there")
 {
     LedgerWorld world(9);
     std::vector<std::optional<std::uint64_t>> resumes;
@@ -111,9 +111,9 @@
     world.checkResults("j");
 }
 
-// The owner dies. The other node lists the heads, finds the job without a live owner, takes it, and lists the rest behind what the
-// dead owner had listed. A reader sees the same positions as before.
-TEST_CASE("ledger: a dead owner's job is taken over behind what it had listed")
+// When the owner dies, another node finds the job by listing the heads, takes it over, and lists further results after those of the dead
+// owner. The positions that readers have seen must not change.
+TEST_CASE("ledger: a dead owner's job is taken over and continues after its listed results")
 {
     LedgerWorld world(10);
     world.pace_ = 12;
@@ -134,9 +134,9 @@
     CHECK(world.notes_[SchedulerNote::TakenOver] == 1);
 }
 
-// The owner stands still for seconds; another node takes its job and lists results. The owner wakes with finished items in hand and
-// writes them. An item with two results, or another order of positions on each node, is what a caller would see.
-TEST_CASE("ledger: a paused owner that wakes changes nothing that another has listed")
+// Guards against duplicate results, and positions that differ between nodes, when a paused owner resumes. Another node has taken over its
+// job and listed results, and the former owner then commits the results that it had in memory.
+TEST_CASE("ledger: an owner that resumes after a pause doesn't change results that another owner has listed")
 {
     LedgerWorld world(11);
     world.slots_ = 3;
@@ -156,8 +156,9 @@
     world.checkResults("j");
 }
 
-// The same, and a reader asks the owner right after it has woken, for what the other node had already shown.
-TEST_CASE("ledger: a paused owner that wakes asks the store before it answers a read")
+// As above, but a reader queries the owner immediately after it resumes. The answer must contain the results that the other node has
+// listed.
+TEST_CASE("ledger: an owner that resumes after a pause queries the store before it answers a read")
 {
     LedgerWorld world(12);
     world.slots_ = 3;
@@ -174,7 +175,7 @@
     CHECK(answer.next_ == 12);
 }
 
-TEST_CASE("ledger: a restarted owner finds its jobs, and the store's answer is enough")
+TEST_CASE("ledger: a restarted owner restores its jobs from the store alone")
 {
     LedgerWorld world(13);
     world.slots_ = 2;
@@ -190,8 +191,8 @@
     world.checkResults("j");
 }
 
-// The accepting node dies right after its acknowledgement, and the owner never heard of the job.
-TEST_CASE("ledger: an owner finds a job that nobody sent it")
+// The accepting node dies right after its acknowledgement, and the owner hasn't received the job's transfer.
+TEST_CASE("ledger: an owner finds a job whose transfer was lost")
 {
     LedgerWorld world(14);
     world.loseTransfers_ = true;
@@ -204,7 +205,7 @@
     CHECK(world.stored("j").size() == 3);
 }
 
-TEST_CASE("ledger: a node that leaves hands its jobs on with what their runs have brought")
+TEST_CASE("ledger: a leaving node hands over its jobs with the progress of their runs")
 {
     LedgerWorld world(15);
     world.pace_ = 30;
@@ -224,7 +225,7 @@
     world.checkResults("j");
 }
 
-// The store is away when a job comes. "Not run" must be true: nothing of the job runs when the store is back.
+// A job that is submitted during an outage of the store and refused as "not run" must not run after the outage.
 TEST_CASE("ledger: a job that the store refused never runs")
 {
     LedgerWorld world(16);
@@ -239,12 +240,12 @@
     CHECK(world.starts_.empty());
 }
 
-// The store is away while the owner has results in hand. They are listed when it is back, once each.
-TEST_CASE("ledger: results wait for the store to come back")
+// The store is unavailable while the owner has finished results. They must be listed once each after the outage.
+TEST_CASE("ledger: results are committed after an outage of the store")
 {
     LedgerWorld world(17);
     bool isNewcomer = false;
-    SUBCASE("of an owner that was there all the while") { world.advance(11s); }
+    SUBCASE("of an owner that was available throughout") { world.advance(11s); }
     SUBCASE("of one that has just started, and may have been replaced") { isNewcomer = true; }
     world.submit(0, "j", 6, 1);
     world.advance(30ms);
@@ -258,8 +259,9 @@
     world.checkResults("j");
 }
 
-// A submission's head arrives and its items never do. Nobody was told "accepted"; the job must not stay open for ever.
-TEST_CASE("ledger: a head without items is given up, and revived by the next submission")
+// Guards against a job that stays open forever because its head is in the store but its items never arrive. The submission was not
+// acknowledged.
+TEST_CASE("ledger: a head without items is voided, and reopened by the next submission")
 {
     LedgerWorld world(18);
     JobHead head = LedgerWorld::submission("j", 1).head_;
@@ -279,7 +281,7 @@
     CHECK(world.stored("j").size() == 2);
 }
 
-TEST_CASE("ledger: bodies are given until their items are listed")
+TEST_CASE("ledger: bodies are returned until their items are listed")
 {
     LedgerWorld world(19);
     world.pace_ = 200;
@@ -299,7 +301,7 @@
     CHECK(body(0, "j-9", true).outcome_ == ReadOutcome::Missing);
 }
 
-TEST_CASE("ledger: items whose route is gone are listed as errored, those of an unknown configuration wait")
+TEST_CASE("ledger: items without a route are listed as errored, and wait while no configuration is known")
 {
     LedgerWorld world(20);
     world.slots_ = 0;
@@ -315,9 +317,9 @@
     CHECK(world.stored("j")[0].state_ == ResultState::Errored);
 }
 
-// The time of day of a host jumps ahead by some seconds, and back again. Items that wait for a slot were listed as errored before their
-// time, or a job's results removed while callers may still read them.
-TEST_CASE("ledger: a time of day that jumps gives nothing up and removes nothing early")
+// Guards against jumps of a host's wall clock by a few seconds in both directions. They made waiting items be listed as errored too early,
+// and results be removed while callers could still read them.
+TEST_CASE("ledger: jumps of the wall clock neither abandon items nor remove results early")
 {
     LedgerWorld world(17, 1);
     world.service_ = std::nullopt; // nothing runs: no configuration is known
@@ -332,7 +334,7 @@
     {
         world.wallShift_ = -4s;
     }
-    SUBCASE("to and fro")
+    SUBCASE("back and forth")
     {
         for (int jump = 0; jump < 10; ++jump) {
             world.wallShift_ = jump % 2 == 0 ? 4s : -4s;
@@ -341,7 +343,7 @@
     }
     world.advance(abandonAfter - 13s);
     CHECK(world.notes_[SchedulerNote::ItemErrored] == 0);
-    // Listed at last, when its time is over by any clock.
+    // The items are abandoned when their time has passed by any of the clocks.
     world.advance(30s);
     CHECK(world.notes_[SchedulerNote::ItemErrored] == 3);
     CHECK(world.read(0, "j").results_.size() == 3);
@@ -349,7 +351,7 @@
     CHECK(world.read(0, "j").results_.size() == 3);
 }
 
-TEST_CASE("ledger: a job's objects go when its retention is over")
+TEST_CASE("ledger: a job's objects are removed after its retention")
 {
     LedgerWorld world(21);
     world.submit(0, "j", 2, 1);
@@ -361,10 +363,10 @@
     CHECK(world.store_.core().objects().empty());
 }
 
-// The message that makes a node the owner of a new job is lost on the way and sent again. Meanwhile the others believe that node dead,
-// and one of them takes the job, runs it and shows its results. Then the message arrives. The late owner knows of no result: a reader
-// that is sent to it would find nothing where it has just read something.
-TEST_CASE("ledger: a node that hears late that it owns a job asks the store before it answers")
+// Guards against an answer without results from a node that receives its ownership of a job late. The transfer is lost and sent again;
+// meanwhile the other nodes consider this node dead, and one of them takes over the job, runs it, and returns its results to readers. A
+// reader that is sent to the late owner must still see them.
+TEST_CASE("ledger: a node that receives a job's transfer late queries the store before it answers")
 {
     LedgerWorld world(22);
     world.loseTransfers_ = true;
@@ -395,9 +397,9 @@
     CHECK(world.stored("j").size() == 6);
 }
 
-// A worker stands still and wakes. It asks the store, which still names it as the owner. A moment later another worker, which has not heard
-// yet that it woke, takes the job and lists results. Readers of the woken worker would see nothing of them for seconds.
-TEST_CASE("ledger: a woken owner goes on asking while others may still believe it dead")
+// Guards against an owner that queries the store only once after a pause. The store still names it as the owner, but a moment later another
+// node, which hasn't noticed its return, takes over the job and lists results. Reads at the former owner would miss them for seconds.
+TEST_CASE("ledger: an owner that resumes after a pause keeps querying the store while others may consider it dead")
 {
     LedgerWorld world(23);
     world.slots_ = 3;
@@ -409,7 +411,7 @@
     world.advance(3s);
     world.wake(1);
     REQUIRE(world.read(1, "j").outcome_ == ReadOutcome::Found);
-    // Its own runs bring nothing in the meantime.
+    // The former owner's runs produce nothing in the meantime.
     world.service_ = std::nullopt;
     world.host(1).runs_.clear();
     world.advance(100ms);
@@ -423,10 +425,10 @@
     CHECK(world.read(1, "j").next_ >= 1);
 }
 
-// A worker finishes items, and stands still with the write of their results on its way. Another one takes the job over. Then the write
-// arrives: the results are in the store, where a reader finds them, and the new owner, who answers from memory, knows nothing of them.
-// The reader asks again, is sent to the new owner, and what it has read is gone.
-TEST_CASE("ledger: results of an earlier owner that arrive after a takeover are not listed behind the new owner's back")
+// Guards against a result page of an earlier owner that arrives after a takeover. The earlier owner was paused while the write was in
+// flight. If the write succeeded, a reader would find the results in the store, but the new owner, which answers from memory, wouldn't know
+// them, so they would be missing from the reader's next answer.
+TEST_CASE("ledger: results of an earlier owner that arrive after a takeover are not listed")
 {
     LedgerWorld world(24);
     world.slots_ = 2;
--- a/libs/ledger/tests/SpoolTest.cpp
+++ b/libs/ledger/tests/SpoolTest.cpp
@@ -1,4 +1,5 @@
-// Jobs that come while the store is away: kept on disks, brought to the store when it is back, never lost and never doubled.
+// Jobs submitted while the store is unavailable: they are spooled on disks, uploaded to the store afterwards, and neither lost nor run
+// twice.
 #include "LedgerWorld.h"
 
 #include "ledger/FileDisk.h"
@@ -21,9 +22,9 @@
 
 } // namespace
 
-// A clerk sends a job while the store is down for four seconds. It was refused, sent once more, refused again and given up. Now two
-// hosts keep it, the clerk has an acknowledgement within milliseconds, and the job runs when the store is back, each item once.
-TEST_CASE("ledger: a job that comes while the store is away is acknowledged at once and runs when it is back")
+// Guards against refusing jobs during an outage of the store. Callers retried once, were refused again, and gave up. Two hosts spool the
+// job, the caller is acknowledged within milliseconds, and each item runs once after the outage.
+TEST_CASE("ledger: a job submitted during a store outage is acknowledged at once and runs after the outage")
 {
     LedgerWorld world(1, 3);
     world.store_.core().setOutage(true);
@@ -41,8 +42,8 @@
     CHECK(world.starts_.size() == items);
 }
 
-// The store falls silent, and nobody knows yet. The caller's acknowledgement is due after 400 ms.
-TEST_CASE("ledger: a store that gives no answer in time is not waited for")
+// The store stops answering, and this hasn't been detected yet. The caller needs an acknowledgement within 400 ms.
+TEST_CASE("ledger: a job is spooled when the store doesn't answer in time")
 {
     LedgerWorld world(2, 3);
     for (std::size_t place = 0; place < 3; ++place)
@@ -54,8 +55,9 @@
     CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Kept });
 }
 
-// A slow store takes a job after 300 ms, when two hosts keep it already. They hear of it and let it go: no call of theirs is spent on it.
-TEST_CASE("ledger: copies of a job that the store took after all are forgotten")
+// A slow store accepts a job after 300 ms, when two hosts have already spooled it. They are notified and discard their copies without a
+// call to the store.
+TEST_CASE("ledger: copies of a job are discarded when the store accepts it after all")
 {
     LedgerWorld world(3, 3);
     world.store_.faults().delay_ = 150ms;
@@ -68,9 +70,9 @@
     expectDone(world, "j");
 }
 
-// The store takes the job a moment before a host's answer that it keeps it. Told at once, that host would hear "forget" before the job, and
-// bring a copy that nobody needs.
-TEST_CASE("ledger: a copy is forgotten only after its host has said that it keeps it")
+// The store accepts the job just before a host answers its spool request. If the discard message were sent at once, it could reach that
+// host before the job, and the host would upload a copy that is no longer needed.
+TEST_CASE("ledger: a copy is discarded only after its host has answered the spool request")
 {
     std::vector<std::string> said;
     std::function<void(KeepOutcome, TimePoint)> hostAnswers;
@@ -92,9 +94,9 @@
     CHECK(said == std::vector<std::string> { "accepted", "forget" });
 }
 
-// The store answers in 370 ms, and one of three hosts with a disk went down a moment ago; nobody believes it dead yet. A job that is sent to it
-// for keeping was acknowledged after 450 to 750 ms, too late for its caller; another host is asked in its place.
-TEST_CASE("ledger: a host that doesn't answer is replaced before the caller's time is over")
+// The store answers after 370 ms, and one of the hosts with a disk has just died and isn't considered dead yet. Without replacing that
+// host, jobs sent to it were acknowledged only after 450 to 750 ms, too late for their callers.
+TEST_CASE("ledger: a host that doesn't answer is replaced before the caller's timeout")
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         CAPTURE(seed);
@@ -109,8 +111,8 @@
     }
 }
 
-// Two of four hosts are down unnoticed and the third is asked for nothing more: what one host alone keeps is never acknowledged.
-TEST_CASE("ledger: a job is not acknowledged on fewer copies than may be lost, however many hosts are asked")
+// Two of three hosts are dead without having been detected. A job with a single copy must not be acknowledged.
+TEST_CASE("ledger: a job with too few copies is not acknowledged, however many hosts are asked")
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         CAPTURE(seed);
@@ -126,8 +128,8 @@
     }
 }
 
-// One of the two hosts that keep a job loses its disk while the store is away, the other one is restarted.
-TEST_CASE("ledger: a kept job survives the loss of one disk and a restart")
+// While the store is unavailable, one of the two hosts that spool a job loses its disk, and all hosts are restarted.
+TEST_CASE("ledger: a spooled job survives the loss of one disk and a restart")
 {
     LedgerWorld world(4, 3);
     world.store_.core().setOutage(true);
@@ -150,8 +152,8 @@
     expectDone(world, "j");
 }
 
-// Too few hosts with a disk live. The job is refused, and the refusal is true: no copy stands anywhere.
-TEST_CASE("ledger: with too few hosts to keep it a job is refused and never runs")
+// Too few hosts are available to spool the job, so it is refused. No copy may exist, because the refusal promises that the job doesn't run.
+TEST_CASE("ledger: a job is refused and never runs if too few hosts can spool it")
 {
     LedgerWorld world(5, 2);
     world.store_.core().setOutage(true);
@@ -164,7 +166,8 @@
     CHECK(world.starts_.empty());
 }
 
-// One of two hosts keeps the job, the other one died a moment ago. "Not run" would be a lie: the copy brings the job to the store.
+// One of two hosts spools the job, the other one has just died. The job must not be refused as "not run", because the copy brings it to the
+// store.
 TEST_CASE("ledger: a job with one copy too few has an unknown outcome and may run")
 {
     LedgerWorld world(6, 2);
@@ -178,7 +181,8 @@
     expectDone(world, "j");
 }
 
-// A host was away for longer than jobs are held. Its copy is of a job that was done and removed; brought again it would run once more.
+// A host returns after more than the retention time. Its copy may be of a job that has completed and been removed, and uploading it would
+// run the job again.
 TEST_CASE("ledger: a copy older than the retention is dropped")
 {
     LedgerWorld world(7, 3);
@@ -196,7 +200,7 @@
     CHECK(world.starts_.empty());
 }
 
-TEST_CASE("ledger: a spool has a bound, and a job that passes it is refused")
+TEST_CASE("ledger: a job that exceeds the spool's size limit is refused")
 {
     MemoryDisk disk;
     SpoolSettings settings;
@@ -206,13 +210,13 @@
     SpoolOutlets outlets { [](const ObjectCall&, CallClass, TimePoint, const SettledCompletion&) {}, [] { return true; }, [](const JobName&) { return NodeId(1); }, [](const JobName&, const Acceptance&) {}, ignore, [] {} };
     JobSpool<MemoryDisk> spool(disk, settings, outlets);
     CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Kept);
-    CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Kept); // the same job again takes no room
+    CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Kept); // spooling the same job again needs no further space
     job.submission_.job_ = "k";
     CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Refused);
     CHECK(disk.texts_->size() == 1);
 }
 
-TEST_CASE("ledger: a kept job's text gives the job back, and a damaged one nothing")
+TEST_CASE("ledger: a spooled job survives encoding, and a damaged text doesn't decode")
 {
     KeptJob job { LedgerWorld::submission("j", items), 1 };
     job.submission_.items_[0].headers_ = { { "Name", "a \"quoted\"\nvalue" } };
@@ -235,7 +239,7 @@
     }
 }
 
-TEST_CASE("ledger: files of a disk stay, and what an unfinished write left goes")
+TEST_CASE("ledger: files of a disk persist, and remainders of interrupted writes are removed")
 {
     const std::string folder = (std::filesystem::temp_directory_path() / ("jayjunction-spool-" + std::to_string(::getpid()))).string();
     {
--- a/libs/ledger/tests/StretchTest.cpp
+++ b/libs/ledger/tests/StretchTest.cpp
@@ -1,11 +1,11 @@
-// Which items begin when more is wanted than can be done.
+// Choice of the items that start under overload.
 #include "LedgerWorld.h"
 
 using namespace jj;
 
 namespace {
 
-// A host whose runs the test makes itself. They take 5 s, and ten when they give way as often as the last eight did.
+// A host whose runs are made by the test. A run takes 5 s, but 10 s if it is interrupted as often as the last eight runs were.
 struct BusyWorld : LedgerWorld {
     explicit BusyWorld(std::uint64_t seed)
         : LedgerWorld(seed, 1)
@@ -34,14 +34,15 @@
 
 } // namespace
 
-// Clerks send a tenth more than can be done. Each item begins when it is due in a run's length and a little, gives way to a burst of questions,
-// and ends a second too late; a quarter of them were late, all by a little. What takes twice a run's length of late, and has
-// less than that left, goes after all that can be in time.
-TEST_CASE("ledger: an item that would be late at the pace of late doesn't begin before one that can be in time")
+// Guards against nearly all items being slightly late under an overload of ten percent. Each item started when the time left just exceeded
+// the duration of a run, yielded to a burst of online requests, and finished a second late; a quarter of the items were late. If runs
+// recently took twice their uninterrupted duration, an item with less time left than that must start after all items that can finish in
+// time.
+TEST_CASE("ledger: an item that would finish late at the recent pace doesn't start before one that can finish in time")
 {
     BusyWorld world(31);
     world.submit(0, "first", 1, 0);
-    world.advance(11500ms); // 6.5 s are left
+    world.advance(11500ms); // 6.5 s are left until the job is due
     world.submit(0, "later", 1, 0);
     world.advance(200ms);
     const auto waiting = world.scheduler(0).waiting(world.now());
@@ -49,11 +50,11 @@
     CHECK(waiting.at("s").count_ == 2);
     CHECK(waiting.at("s").inTime_ == 1);
     CHECK(world.next() == "later-0");
-    // With nothing else to do it is tried all the same.
+    // It is tried nevertheless when nothing else is waiting.
     CHECK(world.next() == "first-0");
 }
 
-TEST_CASE("ledger: an item that has begun is finished first, though it gave way")
+TEST_CASE("ledger: an item that has started is finished first although it was preempted")
 {
     BusyWorld world(32);
     world.submit(0, "first", 1, 0);
