--- a/libs/ledger/include/ledger/Acceptor.h
+++ b/libs/ledger/include/ledger/Acceptor.h
@@ -27,7 +27,7 @@
 
 enum class AcceptOutcome : std::uint8_t {
     Accepted,
-    AlreadyAccepted, // by an earlier submission; its owner has already been notified
+    AlreadyAccepted, // by an earlier submission; its owner isn't notified again
     NotAccepted, // the store holds nothing from which the job could run, now or later
     Unknown, // an answer of the store is missing, so the job may have been accepted
     Invalid,
--- a/libs/ledger/include/ledger/JobIntake.h
+++ b/libs/ledger/include/ledger/JobIntake.h
@@ -36,8 +36,8 @@
 struct IntakeOutlets {
     LedgerStore store_;
     std::function<bool()> storeIsAway_;
-    // Chooses the hosts that spool one job, as many as there must be copies. Excludes `silent`, the hosts that haven't answered their
-    // spool requests. Returns an empty list if too few hosts are available.
+    // Chooses the hosts that spool one job, as many as there must be copies. Excludes `unanswered`, the hosts that haven't answered
+    // their spool requests. Returns an empty list if too few hosts are available.
     std::function<std::vector<NodeId>(const std::vector<NodeId>& silent)> keepers_;
     std::function<void(NodeId, KeptJob, std::function<void(KeepOutcome, TimePoint now)>)> keep_;
     // Tells a host to delete its copy of a job, because the store now holds the job.
@@ -74,7 +74,7 @@
     IntakeOutlets outlets_;
     Acceptor acceptor_;
     std::list<TakingPtr> waiting_; // jobs that wait for the store and haven't been sent to other hosts; oldest first
-    std::list<TakingPtr> keeping_; // jobs sent to other hosts, before the check for hosts that haven't answered; oldest first
+    std::list<TakingPtr> keeping_; // jobs whose unanswered spool requests haven't been replaced yet; oldest first
 };
 
 } // namespace jj
--- a/libs/ledger/include/ledger/JobScheduler.h
+++ b/libs/ledger/include/ledger/JobScheduler.h
@@ -221,8 +221,9 @@
 
     // ---- ownership
     void adopt(JobTransfer job, TimePoint now, WallTime wall);
-    // Lists all heads once, loads jobs that this node owns, and takes over jobs whose owner is dead. A stale list suffices, except for the
-    // first scan after a start.
+    // Lists all heads once, loads jobs that this node owns, and takes over jobs whose owner is dead. Reads the head of a loaded job again
+    // if the store has a newer version, and loads expired jobs to remove them. A stale list suffices, except for the first scan after a
+    // start.
     void scan(bool stale, TimePoint now);
     // Hands over all jobs to other nodes. No further jobs are accepted.
     void beginLeaving(TimePoint now);
@@ -230,6 +231,7 @@
     // accepted them.
     void passOn(TimePoint now);
     bool hasLeft() const;
+    // Makes this node confirm the ownership of all open jobs in the store, because it was paused or considered dead.
     void suspectAll(TimePoint now);
 
     // ---- runs
@@ -301,7 +303,7 @@
     void completeIfDone(const JobPtr& job, TimePoint now);
     void stopRuns(const JobPtr& job, bool keepText);
     void noticePause(TimePoint now);
-    // Whether this node may have been replaced without noticing, because it started or was away recently.
+    // Whether this node may have been replaced without noticing, because it started or was unavailable recently.
     bool wasAway(TimePoint now) const;
     bool wasPaused(TimePoint now) const;
     bool isNewcomer(TimePoint now) const { return now - firstUse_ < settings_.newcomer_; }
--- a/libs/ledger/include/ledger/JobSpool.h
+++ b/libs/ledger/include/ledger/JobSpool.h
@@ -120,7 +120,7 @@
         }
         if (const auto written = disk_.write(name, text); !written) {
             outlets_.note_(SpoolNote::Refused, name, written.error());
-            // The disk may hold a part of the text, which a later process would load as a complete copy.
+            // The disk may hold the complete text although the write failed. A later process would load it and upload the refused job.
             return disk_.remove(name) ? KeepOutcome::Refused : KeepOutcome::Unknown;
         }
         bytes_ += text.size();
--- a/libs/ledger/include/ledger/KeptJob.h
+++ b/libs/ledger/include/ledger/KeptJob.h
@@ -1,9 +1,9 @@
 // A job that some hosts spool on their disks until the store holds it, and its encoding on disk.
 //
 // While the store is unavailable for some seconds, every new job would be refused; callers retry once and then give up. Instead, the entry
-// sends such a job to as many hosts with a disk as may fail at a time plus one, and acknowledges it when all of them have written it to
-// disk. Each of these hosts uploads the job to the store as soon as the store answers. Head and item pages are created only if absent, so
-// neither several uploads nor late calls of the entry do harm.
+// (the node that received the submission) sends such a job to as many hosts with a disk as may fail at a time plus one, and acknowledges it
+// when all of them have written it to disk. Each of these hosts uploads the job to the store as soon as the store answers. Head and item
+// pages are created only if absent, so neither several uploads nor late calls of the entry do harm.
 #pragma once
 
 #include "ledger/Acceptor.h"
--- a/libs/ledger/src/JobScheduler.cpp
+++ b/libs/ledger/src/JobScheduler.cpp
@@ -63,8 +63,8 @@
     job->loadStarted_ = now;
     job->lastUse_ = now;
     // The message may have been delayed, and other nodes, which considered this node dead, may have given the job to another owner that has
-    // listed results since. A reader sent to this node would then miss results that it has already read. A node that started or was away
-    // recently therefore queries the store first. A node that was available throughout can't have been replaced.
+    // listed results since. A reader sent to this node would then miss results that it has already read. A node that started or was
+    // unavailable recently therefore queries the store first. A node that was available throughout can't have been replaced.
     job->suspect_ = wasAway(now) || transfer.isResent_;
     for (JobTransfer::Progress& progress : transfer.progress_)
         job->progress_[progress.item_] = std::move(progress);
@@ -323,8 +323,8 @@
         job->suspect_ = job->isOpen();
 }
 
-// Reads the head from the store to confirm that this node still owns the job. `known` is true if it does and thus has all listed results in
-// memory.
+// Reads the head from the store to confirm that this node still owns the job. `isOwner` is true if it does and thus has all listed results
+// in memory.
 void JobScheduler::refresh(const JobPtr& job, TimePoint now, std::function<void(bool, TimePoint)> then)
 {
     lookUp(job->name_, now, [this, job, now, then = std::move(then)](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
@@ -477,7 +477,7 @@
             handOver(job, now);
             continue;
         }
-        // Another owner may have started the same items, so they must not run here a second time.
+        // If another node owns the job by now, it may have started the same items; the job is then dropped and its runs here stop.
         const bool mustAsk = job->isOpen() && job->suspect_ && now >= job->askAgainAt_;
         if (mustAsk) {
             job->askAgainAt_ = now + settings_.storeRetry_;
--- a/libs/ledger/src/Records.cpp
+++ b/libs/ledger/src/Records.cpp
@@ -24,15 +24,15 @@
         {
             switch (static_cast<LedgerError>(value)) {
             case LedgerError::BadRecord:
-                return "the record can't be decoded";
+                return "the record can't be read";
             case LedgerError::BadJobName:
-                return "a job id may contain only letters, digits, '.', '_' and '-'";
+                return "a job's id is made of letters, digits, '.', '_' and '-'";
             case LedgerError::NoItems:
-                return "a job needs at least one item";
+                return "a job needs an item";
             case LedgerError::DuplicateItem:
                 return "two items have the same id";
             case LedgerError::ItemTooLarge:
-                return "an item exceeds the store's size limit";
+                return "an item is over the store's limit";
             }
             return "unknown error";
         }
--- a/libs/ledger/src/SchedulerReads.cpp
+++ b/libs/ledger/src/SchedulerReads.cpp
@@ -321,7 +321,7 @@
 void JobScheduler::endMarked(const JobName& name, TimePoint now)
 {
     const auto found = jobs_.find(name);
-    // If no node has the job in memory any more, its mark is of no use, and the node that would own the job removes it.
+    // The mark of a job that no node has in memory is of no use. It is removed by the node that would own the job.
     if (found == jobs_.end() && outlets_.preferredOwner_(name, outlets_.self_) != outlets_.self_)
         return;
     const auto clear = [this, name](bool, TimePoint at) { store(ObjectCall::remove(endMarkKey(name)), CallClass::Background, at + settings_.patience_, [](const SettledAnswer&, TimePoint) {}); };
--- a/libs/ledger/src/SchedulerRuns.cpp
+++ b/libs/ledger/src/SchedulerRuns.cpp
@@ -15,8 +15,8 @@
     if (left < fromSeconds(toSeconds(rest) * settings_.hopelessPart_))
         return ItemUrgency::Late;
     // Items that haven't started are deferred if recent items with as little time left finished late. Under overload, items wait until they
-    // can only just finish in time without an interruption. They then start, yield to a burst of online requests, and finish late. Nearly
-    // all items end up slightly late, so the work on them is wasted. Deferring them lets the items that have started finish.
+    // can only just finish in time without an interruption. They then start, yield to a burst of online requests, and finish late,
+    // nearly all of them only slightly, so the work on them is wasted. Deferring them lets the items that have started finish.
     if (item.begunAt_ == TimePoint() && item.events_ == 0 && left < fromSeconds(toSeconds(rest) * meanStretch_))
         return ItemUrgency::Doubtful;
     return left < rest + settings_.urgentMargin_ ? ItemUrgency::Urgent : ItemUrgency::Relaxed;
--- a/libs/ledger/tests/CommitTest.cpp
+++ b/libs/ledger/tests/CommitTest.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Returns the pace for runs of the given duration. A run consists of three events and its end at equal intervals.
+// Returns the number of steps between two events for runs of the given duration. A run consists of three events and its end at equal
+// intervals.
 constexpr int paceOf(Duration run) { return static_cast<int>(run / LedgerWorld::step / (LedgerWorld::eventsPerItem + 1)); }
 
 std::size_t pagesOf(LedgerWorld& world, const JobName& job)
--- a/libs/ledger/tests/EndTest.cpp
+++ b/libs/ledger/tests/EndTest.cpp
@@ -182,7 +182,7 @@
 }
 
 // The node that takes the cancellation can't reach the owner and updates the head in the store. The owner is still running items, and stops
-// them at its next scan.
+// them at its next scan or its next update of the head.
 TEST_CASE("ledger: an owner stops a job that was cancelled bypassing it")
 {
     LedgerWorld world(7);
--- a/libs/ledger/tests/ExploreTest.cpp
+++ b/libs/ledger/tests/ExploreTest.cpp
@@ -1,6 +1,6 @@
-// Runs many randomized schedules of the job scheduler, each from its own seed. Jobs are submitted, read, cancelled and submitted again
-// while hosts crash, pause or are considered dead, one of them repeatedly loses its disk, transfers of jobs are lost, and the store loses
-// answers, is slow or is unavailable. The guarantees to callers must hold in each schedule.
+// Runs 20,000 randomized schedules of the job scheduler (1,000 in a sanitized build), each from its own seed. Jobs are
+// submitted, read, cancelled and submitted again while hosts crash, pause or are considered dead, one of them repeatedly loses its disk,
+// transfers of jobs are lost, and the store loses answers, is slow or is unavailable. The guarantees to callers must hold in each schedule.
 #include "LedgerWorld.h"
 
 #include <chrono>
--- a/libs/ledger/tests/LedgerWorld.h
+++ b/libs/ledger/tests/LedgerWorld.h
@@ -1,5 +1,5 @@
-// Simulates several hosts with a scheduler each over one store in virtual time, with engines that take a while for an item, and callers
-// that check what they read.
+// Simulates several hosts in virtual time. Each has a scheduler, an intake and a spool, and all share one store. Simulated engines need
+// several steps per item, and callers check what they read.
 #pragma once
 
 #include "ledger/Acceptor.h"
@@ -137,8 +137,8 @@
         };
         outlets.note_ = [this](const SchedulerEvent& event) { ++notes_[event.note_]; };
         outlets.serviceOf_ = [this](std::string_view, std::string_view) { return service_; };
-        // In reality, hosts notify each other within milliseconds whether they have spooled jobs.
         outlets.mayBeReplaced_ = [this, place] { return hosts_[place]->mayBeReplaced_; };
+        // In reality, hosts notify each other within milliseconds whether they have spooled jobs.
         outlets.mayBeKept_ = [this] { return std::any_of(hosts_.begin(), hosts_.end(), [](const auto& each) { return !each->disk_.texts_->empty(); }); };
         host.scheduler_ = std::make_unique<JobScheduler>(scheduler_, std::move(outlets));
         host.acceptor_ = std::make_unique<Acceptor>(send);
@@ -367,9 +367,9 @@
             action();
     }
 
+    // Returns the first live host that this host doesn't consider dead and that isn't leaving.
     NodeId preferred(std::size_t place) const
     {
-        // Returns the first live host that this host doesn't consider dead and that isn't leaving.
         for (const auto& host : hosts_) {
             if (host->alive_ && !hosts_[place]->deadTo_.contains(host->id_) && !leaving_.contains(host->id_))
                 return host->id_;
--- a/libs/ledger/tests/ReplacedOwnerTest.cpp
+++ b/libs/ledger/tests/ReplacedOwnerTest.cpp
@@ -21,7 +21,7 @@
         world.host(1).runs_.clear();
         return world.read(1, "j");
     };
-    // The store has just confirmed this node's ownership.
+    // The previous confirmation has expired, so this read makes the owner confirm its ownership in the store.
     world.advance(SchedulerSettings().trustedFor_ + 50ms);
     REQUIRE(readAtOld().outcome_ == ReadOutcome::Found);
     world.bury(1);
--- a/libs/ledger/tests/SchedulerTest.cpp
+++ b/libs/ledger/tests/SchedulerTest.cpp
@@ -1,4 +1,4 @@
-// Life of a job: submission, runs, reads, handover, takeover, removal.
+// Life cycle of a job: submission, runs, reads, handover, takeover, removal.
 #include "LedgerWorld.h"
 
 using namespace jj;
@@ -343,7 +343,7 @@
     }
     world.advance(abandonAfter - 13s);
     CHECK(world.notes_[SchedulerNote::ItemErrored] == 0);
-    // The items are abandoned when their time has passed by any of the clocks.
+    // By now the items' time has passed even on a clock that is 4 s behind.
     world.advance(30s);
     CHECK(world.notes_[SchedulerNote::ItemErrored] == 3);
     CHECK(world.read(0, "j").results_.size() == 3);
--- a/libs/ledger/tests/SpoolTest.cpp
+++ b/libs/ledger/tests/SpoolTest.cpp
@@ -22,8 +22,8 @@
 
 } // namespace
 
-// Guards against refusing jobs during an outage of the store. Callers retried once, were refused again, and gave up. Two hosts spool the
-// job, the caller is acknowledged within milliseconds, and each item runs once after the outage.
+// Guards against refusing jobs during an outage of the store. In an outage of four seconds, callers retried once, were refused again, and
+// gave up. Two hosts spool the job, the caller is acknowledged within milliseconds, and each item runs once after the outage.
 TEST_CASE("ledger: a job submitted during a store outage is acknowledged at once and runs after the outage")
 {
     LedgerWorld world(1, 3);
@@ -42,7 +42,8 @@
     CHECK(world.starts_.size() == items);
 }
 
-// The store stops answering, and this hasn't been detected yet. The caller needs an acknowledgement within 400 ms.
+// The store's answers take seconds, but the caller needs an acknowledgement within 400 ms. No host can reach the store when the job is
+// submitted, so it is spooled at once. Only the first host reaches the store afterwards.
 TEST_CASE("ledger: a job is spooled when the store doesn't answer in time")
 {
     LedgerWorld world(2, 3);
--- a/libs/ledger/tests/StretchTest.cpp
+++ b/libs/ledger/tests/StretchTest.cpp
@@ -34,10 +34,10 @@
 
 } // namespace
 
-// Guards against nearly all items being slightly late under an overload of ten percent. Each item started when the time left just exceeded
-// the duration of a run, yielded to a burst of online requests, and finished a second late; a quarter of the items were late. If runs
-// recently took twice their uninterrupted duration, an item with less time left than that must start after all items that can finish in
-// time.
+// Guards against items finishing slightly late under an overload of ten percent. Items started when the time left just exceeded the
+// duration of a run, yielded to a burst of online requests, and finished a second late; a quarter of all items were late, all of them by a
+// little. If runs recently took twice their uninterrupted duration, an item with less time left than that must start after all items that
+// can finish in time.
 TEST_CASE("ledger: an item that would finish late at the recent pace doesn't start before one that can finish in time")
 {
     BusyWorld world(31);
