--- a/libs/serving/include/serving/Translation.h
+++ b/libs/serving/include/serving/Translation.h
@@ -64,7 +64,8 @@
     HeaderNames headers_;
     StoreKeys keys_;
 
-    // ---- objects written by operators and engines. On a parse error the node logs the error and ignores the object.
+    // ---- objects written by operators and engines. On a parse error the node logs the error and ignores the object. An engine
+    // whose entry becomes unreadable is no longer used.
     std::function<Checked<RouteConfig>(std::string_view value)> readConfig_;
     // `regions` maps each failure domain to its region.
     std::function<Checked<EngineEntry>(std::string_view key, std::string_view value, const std::map<std::string, std::string>& regions)> readEngine_;
--- a/libs/serving/src/ConfigFollower.cpp
+++ b/libs/serving/src/ConfigFollower.cpp
@@ -1,4 +1,4 @@
-// Reads the configuration once and then long-polls for changes. After any failure it reads the configuration again.
+// Reads the configuration once; a watcher then long-polls for changes, and reads the configuration again after any failure.
 #include "ConfigFollower.h"
 
 namespace jj {
--- a/libs/serving/src/ConfigFollower.h
+++ b/libs/serving/src/ConfigFollower.h
@@ -31,7 +31,8 @@
     void tick(TimePoint now);
     // Applies a configuration received from the store or from a peer, unless it is unreadable, invalid or not newer.
     void take(std::string_view value, std::string_view source);
-    // Records that a peer has this version, and requests it if it is newer.
+    // Records that a peer has this version. If it is newer, a passive node requests it at once. A watcher requests it only if the
+    // store hasn't delivered it after FollowerTimes::behindBound_.
     void peerHas(std::uint64_t version, TimePoint now);
 
     std::uint64_t version() const { return table_ ? table_->version() : 0; }
--- a/libs/serving/src/CrashSuspects.h
+++ b/libs/serving/src/CrashSuspects.h
@@ -4,7 +4,7 @@
 // after another. To prevent this, content (host, path and body of a request) that was lost at mostCrashes engines, each of which
 // was found down immediately afterwards, is refused for blockTime on all nodes before it is sent to an engine.
 //
-// Other requests that ran on a crashed engine are lost with it. They are told apart by their outcome: content that was answered
+// Innocent requests that ran on a crashed engine are lost with it. Their outcome distinguishes them: content that was answered
 // recently isn't counted, and an innocent request that is sent only once is unlikely to meet three crashes in a row. A lost answer
 // alone isn't counted either, because the engine may be alive and only the connection broken.
 //
@@ -30,7 +30,7 @@
     // An innocent request can be lost to a crash on its first attempt and again on its caller's retry. A third crash in a row is
     // very unlikely to be a coincidence.
     static constexpr std::uint32_t mostCrashes = 3;
-    // A crashed engine refuses connections at once. If it is found down later than this, the cause may be another one.
+    // A crashed engine refuses connections at once. If it is found down later than this after the loss, the cause may be another one.
     static constexpr Duration evidenceTime = 2s;
     // Longer than callers keep retrying a request, and short enough that a request blocked by mistake is accepted again soon.
     static constexpr Duration blockTime = std::chrono::minutes(10);
@@ -51,7 +51,7 @@
     void learned(Fingerprint mark, Duration remaining, TimePoint now);
 
     bool isBlocked(Fingerprint content, TimePoint now) const;
-    // Returns whether no content is marked, so that callers needn't compute fingerprints.
+    // Returns whether no content is marked. Callers then don't need to compute fingerprints.
     bool blocksNothing() const { return marks_.empty(); }
     void tick(TimePoint now);
 
--- a/libs/serving/src/Dissemination.cpp
+++ b/libs/serving/src/Dissemination.cpp
@@ -23,7 +23,7 @@
     std::uniform_int_distribution<std::size_t> any(0, from.size() - 1);
     const UpdatePeer* first = from[any(random)];
     const UpdatePeer* second = from[any(random)];
-    // Takes the newer of two random peers, so that a node reaches the newest version in fewer steps.
+    // Picks the newer of two random peers, so that a node reaches the newest version in fewer updates.
     const bool isSecondNewer = second->config_ != first->config_ ? second->config_ > first->config_ : second->engines_ > first->engines_;
     return (isSecondNewer ? second : first)->node_;
 }
--- a/libs/serving/src/Dissemination.h
+++ b/libs/serving/src/Dissemination.h
@@ -29,15 +29,16 @@
     std::uint64_t engines_ = 0;
 };
 
-// Returns a random peer that is ahead of these versions, any peer if none is known to be ahead, or no node if there are no peers.
+// Returns a peer that is ahead of these versions: the newer of two random ones, from this node's region if one there is ahead. If no
+// peer is known to be ahead, chooses among all peers; returns no node if there are no peers.
 NodeId pickUpdateSource(const std::vector<UpdatePeer>& peers, std::uint64_t config, std::uint64_t engines, std::mt19937_64& random);
 
 // Limits how many update requests a node answers.
 class UpdateBudget {
 public:
-    // About half of the slowest link of an entry host, 30 Mbit/s; the answers to callers need the rest.
+    // About half the bandwidth of the slowest link of an entry host, which has 30 Mbit/s. The answers to callers need the rest.
     static constexpr double bytesPerSecond = 2e6;
-    // A requester gives up if it receives no byte for 600 ms.
+    // Must stay well below 600 ms: a requester that receives no byte for that long gives up.
     static constexpr Duration longestBacklog = 250ms;
 
     bool mayAnswer(TimePoint now) const { return busyUntil_ - now <= longestBacklog; }
--- a/libs/serving/src/EngineCatalog.cpp
+++ b/libs/serving/src/EngineCatalog.cpp
@@ -16,7 +16,8 @@
 
 // ---- from the store
 
-// Returns whether the catalog has a newer version of the entry: an answer that was delayed can be older than a peer's update.
+// Returns whether `version` is older than the entry that the catalog has. This happens when an answer of the store was delayed and a
+// peer's update arrived first.
 bool EngineCatalog::isOlder(const std::string& key, ObjectVersion version) const
 {
     const auto found = known_.find(key);
@@ -61,8 +62,8 @@
     miss(key, version, now + grace);
 }
 
-// Ignores an entry of an unknown engine if the answer is older than version(): a peer's update may already have reported the
-// engine's removal.
+// Ignores an entry of an unknown engine if the entry isn't newer than version() and the answer is older: a peer's update may already
+// have reported the engine's removal.
 void EngineCatalog::putAnswered(const std::string& key, const std::string& value, ObjectVersion version, ObjectVersion answeredAt)
 {
     const bool isGoneSince = !known_.contains(key) && version.value() <= newest_ && answeredAt.value() < newest_;
@@ -99,8 +100,8 @@
     std::set<std::string> listed;
     std::uint64_t newest = 0;
     for (const ObjectEntry& entry : entries) {
-        // This entry changed between two pages. Other changes up to its version are unknown, so it is left to the next answer that
-        // includes all of them.
+        // This entry changed after the first page was read. Other changes up to its version are unknown, so it is left to the next
+        // answer, which includes all of them.
         if (entry.version_ > version)
             continue;
         listed.insert(entry.key_);
@@ -205,8 +206,8 @@
     return update;
 }
 
-// Returns whether `update` contains all changes since `version`. An update that isn't whole is complete only from the version given
-// in its request, and this node may have advanced since.
+// Returns whether `update` contains all changes since `version`, this node's current version. An update that isn't whole was built
+// for the version in its request, and this node may since have advanced to a version inside a gap of the update.
 bool EngineCatalog::isCompleteFrom(std::uint64_t version, const EngineUpdate& update)
 {
     return update.isWhole_ || std::none_of(update.gaps_.begin(), update.gaps_.end(), [version](const VersionGap& gap) { return gap.contains(version); });
@@ -253,7 +254,7 @@
         if (!isSuccessorKnown)
             miss(missing.key_, missing.version_, now + missing.goneIn_);
         else if (update.isWhole_)
-            remove(missing.key_, ObjectVersion(update.version_), "goneByPeer"); // the peer's whole update lacks the newer entry
+            remove(missing.key_, ObjectVersion(update.version_), "goneByPeer"); // the whole update lacks this node's newer entry
     }
 }
 
--- a/libs/serving/src/EngineCatalog.h
+++ b/libs/serving/src/EngineCatalog.h
@@ -41,7 +41,7 @@
 
     // Applies a complete list of entries with values. An engine that isn't listed was removed; it stays in use for `grace`.
     void list(const std::vector<ObjectEntry>& entries, PageVersions versions, TimePoint now, Duration grace);
-    // Applies all changes between the previous list or call and `version`, in order.
+    // Applies the changes that a long-poll call returned: all changes between the store's previous answer and `version`, in order.
     void follow(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now, Duration grace);
 
     // Removes the missing engines whose grace period is over.
@@ -51,8 +51,8 @@
 
     // Returns the version up to which all changes have been applied; 0 if there are none.
     std::uint64_t version() const { return newest_; }
-    // Returns whether all changes up to `version`, which a peer has reported, have been applied. If the store's answers already cover
-    // `version`, version() is raised to it.
+    // Raises version() to `version`, which a peer has reported, if the store's answers already cover it. Returns whether all changes
+    // up to `version` have been applied.
     bool knowsAsMuch(std::uint64_t version);
     bool isKnown() const { return isKnown_; }
     void forEach(const std::function<void(const EngineEntry&)>& visit) const;
@@ -66,7 +66,8 @@
         EngineEntry entry_;
         std::string value_; // the entry as stored
         ObjectVersion version_;
-        // Time at which a missing engine is removed. Invariant: neverTime, unless the store removed the entry at missingVersion_.
+        // Time at which this node removes an engine whose entry is missing; neverTime if the entry isn't missing. Invariant: if it
+        // isn't neverTime, the store removed the entry at missingVersion_.
         TimePoint goneAt_ = neverTime;
         ObjectVersion missingVersion_;
 
@@ -74,14 +75,14 @@
     };
 
     void put(const std::string& key, const std::string& value, ObjectVersion version);
-    // Puts an entry from an answer that shows the store's state at version `answeredAt`.
+    // Applies an entry from an answer of the store that shows the state at version `answeredAt`.
     void putAnswered(const std::string& key, const std::string& value, ObjectVersion version, ObjectVersion answeredAt);
     void gone(const std::string& key, ObjectVersion version, TimePoint now, Duration grace);
     void knowsUpTo(std::uint64_t version);
     bool isOlder(const std::string& key, ObjectVersion version) const;
     void miss(const std::string& key, ObjectVersion version, TimePoint goneAt);
     void remove(const std::string& key, ObjectVersion version, std::string_view why);
-    // Puts the entries that are not newer than `version` and returns their keys.
+    // Applies the listed entries that are not newer than `version`, the version of the list's first page, and returns their keys.
     std::set<std::string> putListed(const std::vector<ObjectEntry>& entries, ObjectVersion version);
     // Returns the keys of known engines that are not in `named`.
     std::vector<std::string> keysWithout(const std::set<std::string>& named) const;
--- a/libs/serving/src/EngineFeed.h
+++ b/libs/serving/src/EngineFeed.h
@@ -3,8 +3,9 @@
 // A watcher lists the entries once and then follows them by long-poll calls, which the store holds open until there is a change. A
 // passive node requests updates from a peer that is ahead (see ConfigFollower.h). Peers' versions also protect watchers: a watcher
 // that stays behind a peer for longer than messages need to arrive calls the store again from its current version, so a connection
-// that silently stopped delivering costs at most behindBound_. A watcher lists the entries again only after a call has failed,
-// because a list doesn't name engines that were added and removed since the last one (see RemovalHistory.h) and repeats all others.
+// that silently stopped delivering delays a change by little more than behindBound_ once a peer has it. A watcher lists the entries
+// again only after a call has failed, because a list doesn't name engines that were added and removed since the last one (see
+// RemovalHistory.h) and transfers all other entries again.
 //
 //     EngineFeed<StoreLink, SystemClock> feed(clock, store, translation, log, times, grace, readsLongLists, catalog, askPeer);
 //     feed.setPassive(false);
@@ -67,7 +68,7 @@
         passive_ = passive;
         if (passive || !seen_.isNone())
             return;
-        // Passive nodes depend on what this watcher reads.
+        // Passive nodes depend on what this watcher reads, so it must not wait for them.
         readsLongLists_ = true;
         nextAt_ = std::min(nextAt_, clock_.now());
     }
@@ -87,7 +88,8 @@
         catchUp(now);
     }
 
-    // Records that a peer has applied all changes up to `version`, and requests an update if this node lacks some of them.
+    // Records that a peer has applied all changes up to `version`. If this node lacks some of them, a passive node requests an update
+    // at once, and a watcher calls the store again after FollowerTimes::behindBound_.
     void peerHas(std::uint64_t version, TimePoint now)
     {
         if (!catalog_.knowsAsMuch(version) && lag_.mustAsk(version, passive_, now))
@@ -136,9 +138,9 @@
         again(now);
     }
 
-    // A healthy store also closes long-poll calls and reports that their version has expired from its history. Only a call that
-    // stays silent for its whole time shows that the store was unreachable. If an outage cuts the call instead, the list that
-    // follows fails.
+    // A failed watch call alone doesn't show an outage: a healthy store also closes long-poll calls, or reports that their version has
+    // expired from its history. Only a call that stays silent for its whole time shows that the store was unreachable. If an outage
+    // cuts the call earlier, the list that follows fails and shows it.
     void watchFailed(std::error_code error, TimePoint now)
     {
         if (now - calledAt_ >= heldOpen_)
@@ -254,7 +256,8 @@
     DecisionLog& log_;
     FollowerTimes times_;
     OutageGrace grace_;
-    bool readsLongLists_; // as configured, or because no peer has sent the list in time
+    // As configured at first. Set once the node has waited for its peers to send the list, and when the node becomes a watcher.
+    bool readsLongLists_;
     PeerLag lag_;
     EngineCatalog& catalog_;
     AskPeer askPeer_;
--- a/libs/serving/src/FollowerTimes.h
+++ b/libs/serving/src/FollowerTimes.h
@@ -9,9 +9,10 @@
 namespace jj {
 
 struct FollowerTimes {
-    // How long the store holds a long-poll call open. A connection that falls silent is noticed only when this time is over, and
-    // when all watchers' connections fall silent together no peer has a newer version. So the time is well below the 4 s after
-    // which a node must be up to date again following a disturbance. It costs 8 calls per 2.5 s with two regions.
+    // How long the store holds a long-poll call open. A connection that falls silent is noticed when this time is over, or earlier by
+    // a peer's newer version. When all watchers' connections fall silent together, no peer has a newer version. The time is therefore
+    // well below 4 s: that long after a disturbance a node counts as undisturbed again and must be up to date. It costs 8 calls per
+    // 2.5 s with two regions: two watchers per region poll for the configuration and for the engines.
     Duration heldOpen_ = 2500ms;
     Duration firstRetry_ = 100ms;
     Duration longestRetry_ = 1s;
--- a/libs/serving/src/KindWatch.cpp
+++ b/libs/serving/src/KindWatch.cpp
@@ -7,7 +7,8 @@
 
     constexpr Duration heldOpen = 15s;
     constexpr Duration retryPeriod = 1s;
-    // Bounds the delay until this node finds an object that another node has found but could not report to it.
+    // Interval of the lists while passive. It bounds the delay until this node finds an object that another node has found but could
+    // not report to it.
     constexpr Duration passivePeriod = 15s;
 
 } // namespace
--- a/libs/serving/src/OutageGrace.h
+++ b/libs/serving/src/OutageGrace.h
@@ -4,9 +4,9 @@
 // is still missing then belongs to an engine that was removed. The grace period starts at the recovery of the store, as seen by
 // this node.
 //
-// The period must not start when a removal is seen. In that case a node that had briefly lost the store saw an engine leave without
-// notice nearly two seconds after the recovery, kept using it for two more seconds, and sent it requests later than the bound for
-// leaving engines allows. When the period starts at the recovery, it ends before any such bound.
+// The period must not start when a removal is seen. If it did, a node that had briefly lost the store and saw an engine leave without
+// notice nearly two seconds after the recovery would use it for two more seconds, and would be the only node to send it requests
+// later than the time limit for leaving engines. A period that starts at the recovery ends before any such limit.
 #pragma once
 
 #include "base/Time.h"
--- a/libs/serving/src/RemovalHistory.h
+++ b/libs/serving/src/RemovalHistory.h
@@ -1,4 +1,4 @@
-// Records which engines were removed since a given version, as far as the node knows, and for which versions it doesn't know.
+// Records removed engines with the versions of their removal, and the ranges of versions in which removals may be unknown.
 //
 // A node either follows removals one by one or takes over a whole state, by listing the store or by receiving all engines from a
 // peer. A whole state doesn't name engines that were added and removed since the node's previous version. The versions between the
--- a/libs/serving/src/RetirementDuty.h
+++ b/libs/serving/src/RetirementDuty.h
@@ -14,7 +14,7 @@
 
 class RetirementDuty {
 public:
-    // `begin` stops accepting jobs and starts handing over the owned ones. `isEmpty` returns whether no job is left.
+    // `startDraining` stops accepting jobs and starts handing over the owned ones. `isEmpty` returns whether no job is left.
     RetirementDuty(StoreLink& store, const Translation& translation, DecisionLog& log, std::string host, std::function<void()> begin, std::function<bool()> isEmpty);
 
     void tick();
--- a/libs/serving/src/StoreLink.cpp
+++ b/libs/serving/src/StoreLink.cpp
@@ -1,5 +1,5 @@
-// Chooses the route of each call. Every answer except an unavailable store, an unknown outcome or a rate limit shows that the route
-// works.
+// Chooses the route of each call by the outcomes of single tries. Every outcome other than Unavailable, OutcomeUnknown or RateLimited
+// shows that the route works.
 #include "StoreLink.h"
 
 namespace jj {
@@ -32,7 +32,8 @@
 
 Duration StoreLink::boundOf(const ObjectCall& call) const { return settings_.answerBound_ + call.wait_; }
 
-// Only a call without long polling probes the direct route again, because a long-poll call would show its state too late.
+// While direct calls fail, only a call without long polling tries the direct route again: a long-poll call would take too long to
+// show whether the route works.
 bool StoreLink::goesDirect(const ObjectCall& call, TimePoint now) const
 {
     return !directFails_ || (call.wait_ == Duration::zero() && now >= directAgainAt_);
--- a/libs/serving/src/StoreLink.h
+++ b/libs/serving/src/StoreLink.h
@@ -38,7 +38,7 @@
 struct StoreCounts {
     std::uint64_t direct_ = 0;
     std::uint64_t viaPeers_ = 0;
-    std::uint64_t forPeers_ = 0;
+    std::uint64_t forPeers_ = 0; // direct calls made at the request of peers
     std::uint64_t failed_ = 0;
 };
 
@@ -55,9 +55,11 @@
 
     // Queues a call that is retried, read back after a lost answer and limited to this node's share of the call rate.
     void send(ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done);
-    // Tries a call once, immediately. Used for the lists and long-poll calls of followers.
+    // Tries a call once, immediately, directly or through a peer. Followers use it for their lists and long-poll calls, and the call
+    // queue uses it for each of its tries.
     void once(const ObjectCall& call, Completion done);
-    // Tries a call once, never through a peer.
+    // Tries a call once, never through a peer. Also used for the calls that peers send through this node, so that a call passes
+    // through at most one peer.
     void direct(const ObjectCall& call, Completion done);
 
     void tick(TimePoint now);
--- a/libs/serving/src/WatchChoice.cpp
+++ b/libs/serving/src/WatchChoice.cpp
@@ -14,17 +14,17 @@
     // Nodes discover each other 50 to 800 ms after their start. Without this spread all of 84 nodes started to watch at once; with
     // it, 27 do.
     constexpr Duration startSpread = 600ms;
-    // By then, some dozen nodes that start at once have discovered each other. Nodes of a fleet of hundreds need longer and report
-    // that they are still joining.
+    // Within this time after their start, some dozen nodes that start at once discover each other. In a fleet of hundreds, nodes need
+    // longer and report that they are still joining; their first call then waits until longestJoin after the start at most.
     constexpr Duration meetTime = 900ms;
     constexpr Duration longestJoin = 3s;
     // All 84 nodes of a fleet had discovered each other 0.8 s after their start.
     constexpr Duration settleTime = 1200ms;
 
-    // Delay between the tries of successive nodes. The store refuses at most half of the nodes, so a node that it serves is found
-    // within a second.
+    // Delay between the tries of successive nodes in rank order. The store refuses at most half of the nodes, so a node that it serves
+    // tries within a second.
     constexpr Duration nextTry = 250ms;
-    // A node that is cut off from its peers regards them as alive for some more seconds.
+    // Bounds the wait for higher-ranked nodes: a node that is cut off from its peers regards them as alive for some more seconds.
     constexpr Duration longestWait = 6s;
 
     std::uint64_t rankOf(NodeId node)
--- a/libs/serving/src/WatchChoice.h
+++ b/libs/serving/src/WatchChoice.h
@@ -39,8 +39,8 @@
     // has discovered them.
     WatchChoice(NodeId self, TimePoint start, std::uint64_t seed, bool expectsOthers);
 
-    // Returns whether this node is to watch the store. `isFollowing` says that it already follows the store, so that its reports
-    // name it as a watcher.
+    // Decides again whether this node is to watch the store, records the decision and returns it. `isFollowing` says that the node
+    // already follows the store, so that its reports name it as a watcher.
     bool mustWatch(const std::vector<WatchPeer>& peers, bool isLeaving, bool isFollowing, TimePoint now);
     // Returns whether a node that is to watch may make its first call. `isJoining` says that it is still discovering the other
     // nodes.
@@ -49,14 +49,15 @@
 private:
     // Returns the number of eligible nodes in the region that rank above this one.
     std::size_t placeAmong(const std::vector<WatchPeer>& peers) const;
-    // Returns whether no watcher is reported and the nodes ranked above this one have had their time to try.
+    // Records the time if a watcher is reported now. Returns whether no watcher is reported and the nodes ranked above this one have
+    // had their time to try.
     bool isMissed(const std::vector<WatchPeer>& peers, std::size_t place, TimePoint now);
 
     std::uint64_t rank_;
     TimePoint firstAt_;
-    TimePoint metAt_; // enough nodes are known by then to tell which of them rank above this one
+    TimePoint metAt_; // a fixed time after the start, by which enough nodes are known to tell which of them rank above this one
     TimePoint joinedAt_; // from then on the first call no longer waits for joining to end
-    TimePoint settledAt_; // all other nodes are known by then
+    TimePoint settledAt_; // a fixed time after the start, by which all other nodes are known
     TimePoint heardAt_ = neverTime; // when a watcher was last reported
     bool watching_ = false;
     TimePoint beginsAt_ = neverTime;
--- a/libs/serving/tests/EngineFeedTest.cpp
+++ b/libs/serving/tests/EngineFeedTest.cpp
@@ -73,7 +73,8 @@
 
 } // namespace
 
-// Guards against a watcher that lists all engines, and so misses removals, whenever it is briefly behind its peers.
+// Guards against a watcher that lists all engines whenever it is briefly behind its peers: a list misses removals and transfers every
+// entry again.
 TEST_CASE("a watcher behind its peers requests the changes during the pause between two calls")
 {
     Watcher watcher;
@@ -88,7 +89,7 @@
     CHECK(watcher.node_.using_ == Names { "b" });
 }
 
-// Guards against the full price of an up-to-date read for every process when all processes start at once.
+// Guards against an up-to-date read, which costs the store's full price, by every process when all processes start at once.
 TEST_CASE("a process accepts stale data for its first list of engines and current data for later lists")
 {
     Watcher node;
--- a/libs/serving/tests/EngineHistoryTest.cpp
+++ b/libs/serving/tests/EngineHistoryTest.cpp
@@ -235,8 +235,9 @@
     CHECK(peer.using_ == Names { "b", "c" });
 }
 
-// Guards against requests to a removed engine from a host that requested its update from a watcher whose list skipped the removal.
-TEST_CASE("a removal that a watcher's list skipped reaches a peer that asks this watcher")
+// Guards against requests to a removed engine from a host that requested its update from a watcher whose list didn't show the removal:
+// the engine was added and removed since the watcher's previous version.
+TEST_CASE("a removal that a watcher's list didn't show reaches a peer that asks this watcher")
 {
     const TimePoint start {};
     Node watcher;
@@ -254,9 +255,9 @@
     CHECK(peer.using_ == Names { "a", "c" });
 }
 
-// Guards against requests to a removed engine from a host that requested its update from a third host, which received it from a
-// watcher whose list skipped the removal.
-TEST_CASE("a host passes on the gap of an update that skipped removals")
+// Guards against requests to a removed engine when the watcher's list didn't show the removal, another host took its update from that
+// watcher, and a peer then requests its update from that host.
+TEST_CASE("a host that applied an update with a gap passes the gap on")
 {
     const TimePoint start {};
     Node watcher;
--- a/libs/serving/tests/WatchChoiceTest.cpp
+++ b/libs/serving/tests/WatchChoiceTest.cpp
@@ -1,8 +1,8 @@
 // Tests which nodes watch the store while a fleet starts, and when watchers stop.
 //
-// In the simulation 84 nodes in two regions start within 0.3 s, and each discovers the others 50 to 800 ms later, as measured when
-// a fleet of that size started. Each node that starts to watch makes two calls to the store at once, and one more for each half
-// second in which engines register.
+// In the simulation 84 nodes in two regions start within 0.3 s, and each discovers the others 50 to 800 ms later, as in a real fleet
+// of that size. Each node that starts to watch makes two calls to the store at once, and one more for each half second in which
+// engines register.
 #include "WatchChoice.h"
 
 #include "base/Hash.h"
