--- a/libs/serving/src/Cells.cpp
+++ b/libs/serving/src/Cells.cpp
@@ -1,4 +1,4 @@
-// Counts by region and domain decide on the cut; hashes of names decide the rest.
+// Splits regions by their node counts per failure domain, and assigns nodes and engines to cells by a hash of their ids.
 #include "Cells.h"
 
 #include "base/Hash.h"
@@ -125,7 +125,7 @@
     std::uint64_t place = region.value();
     if (cut.byDomain_) {
         const auto& domains = found->second.domains_;
-        // An engine of a domain without nodes belongs to one of the others.
+        // An engine in a domain without nodes is assigned to the cell of another domain, chosen by its hash.
         const bool hasNodes = domains.contains(domain);
         const FailureDomainId home = hasNodes ? domain : std::next(domains.begin(), static_cast<std::ptrdiff_t>(hash % domains.size()))->first;
         place = mixHash(place, home.value());
--- a/libs/serving/src/Cells.h
+++ b/libs/serving/src/Cells.h
@@ -1,16 +1,18 @@
-// Which nodes report each change of their load to each other, and who speaks for them to the rest of the fleet.
+// Divides the nodes of the fleet into cells. The nodes of a cell report each change of their load to each other, and the delegates of
+// a cell send a summary of its load to the other cells.
 //
-//     Cells cells(self);
-//     cells.rebuild(members);                                // all nodes that are known
+//     Cells cells;
+//     cells.rebuild(members);                                // all known nodes
 //     cells.cellOf(engine.region_, engine.domain_, engine.id_.value());
-//     cells.delegates(cell);                                 // of a cell: at most two live nodes
+//     cells.delegates(cell);                                 // at most two live nodes of the cell
 //
-// A region of up to mostNodes is one cell. A larger one is cut by failure domains, so that a cell's engines and hosts stand side by side, and
-// domains that are too large are cut in halves by a hash of the name. Domains that are too small for a cell each are cut by the
-// hash alone. So a node's reports don't grow with the fleet.
+// A region of up to mostNodes nodes is one cell. A larger region is split by failure domain, so that the hosts and engines of a cell are
+// in the same domain. Failure domains that are too large are split further into halves by a hash of the node or engine id. If a failure
+// domain is too small for its share of cells, the region is split by that hash alone. This bounds the number of nodes that a node reports
+// to, whatever the size of the fleet.
 //
-// All nodes compute the same from what they know of the others. Nodes that disagree for a while report to nodes that count them twice or not
-// at all, for as long as a report counts.
+// Every node computes the cells from its own view of the membership. While the views of two nodes differ, the load of a node may be
+// counted twice or not at all. Such an error ends at the latest when the affected reports expire.
 #pragma once
 
 #include "base/Id.h"
@@ -28,10 +30,10 @@
     RegionId region_;
     FailureDomainId domain_;
     bool isLive_ = false;
-    bool leaves_ = false; // speaks for nobody any more
+    bool leaves_ = false; // not eligible as a delegate
 };
 
-// How a region is cut: into so many parts, or each of its failure domains is.
+// Describes how a region is split: either the whole region or each of its failure domains is divided into parts_ cells.
 struct RegionCut {
     bool byDomain_ = false;
     std::uint32_t parts_ = 1; // a power of two
@@ -42,31 +44,33 @@
 class Cells {
 public:
     static constexpr std::size_t mostNodes = 56;
-    // Below this a cell is joined with others. The gap keeps the cut steady while nodes come and go.
+    // Minimum number of nodes in each part of a split region. A split is only changed when a part violates a bound; the distance between
+    // fewestNodes and mostNodes keeps it stable while single nodes join or leave.
     static constexpr std::size_t fewestNodes = 16;
-    // One may be gone, paused or cut off, and nobody knows it yet.
+    // The second delegate covers the time in which the first one is stopped, paused or partitioned and this hasn't been detected yet.
     static constexpr std::size_t delegatesOfCell = 2;
 
     struct Change {
-        bool nodes_ = false; // a cell has other live nodes or delegates than before
-        bool layout_ = false; // nodes and engines belong to other cells, or other cells have live nodes
+        bool nodes_ = false; // the live nodes or the delegates of a cell have changed
+        bool layout_ = false; // the assignment to cells, or the set of cells with live nodes, has changed
     };
-    // All nodes that are known, the ones that are gone for a short while too, so that the cut doesn't change when many of them fail.
+    // Recomputes the cells. `members` holds all known nodes, including those that became unreachable recently, so that the split doesn't
+    // change when many nodes fail at once.
     Change rebuild(const std::vector<CellMember>& members);
 
-    // None: no node of the region is known.
+    // Returns the cell of a node or engine with the id `member`; none if no node of the region is known.
     CellId cellOf(RegionId region, FailureDomainId domain, std::uint64_t member) const;
     CellId cellOf(NodeId node) const;
-    // Live nodes of a cell that don't leave, the ones that speak for it first.
+    // Returns the delegates of a cell by rank: at most delegatesOfCell live nodes that aren't leaving.
     const std::vector<NodeId>& delegates(CellId cell) const;
-    // Live nodes, in the order of their ids.
+    // Returns the live nodes of a cell, ordered by id.
     const std::vector<NodeId>& nodesOf(CellId cell) const;
-    // Those with live nodes.
+    // Returns the cells that have live nodes.
     std::vector<CellId> cells() const;
 
 private:
     struct Region {
-        std::map<FailureDomainId, std::size_t> domains_; // known nodes
+        std::map<FailureDomainId, std::size_t> domains_; // number of known nodes by domain
         std::size_t nodes_ = 0;
 
         std::size_t largest() const;
@@ -80,7 +84,7 @@
         friend bool operator==(const Cell&, const Cell&) = default;
     };
 
-    // What decides on the cell of a node or an engine, and the cells with live nodes.
+    // Everything that determines the cell of a node or an engine, and the cells that have live nodes.
     struct Layout {
         std::map<RegionId, std::pair<RegionCut, std::vector<FailureDomainId>>> regions_;
         std::vector<CellId> cells_;
--- a/libs/serving/src/Fleet.cpp
+++ b/libs/serving/src/Fleet.cpp
@@ -1,4 +1,4 @@
-// Sockets around the membership core and the exchange of reports.
+// Provides the sockets of membership, load reports and calls between nodes.
 #include "Fleet.h"
 
 #include "http/Client.h"
@@ -15,9 +15,9 @@
 
     using Udp = boost::asio::ip::udp;
 
-    // Membership's own periods are 60 ms and more.
+    // The shortest period inside the membership core is 60 ms.
     constexpr Duration membershipTick = 45ms;
-    // Lines for single members a period; the rest is counted.
+    // Membership changes that are logged one by one in each changeLinesPeriod. The rest is only counted.
     constexpr std::uint32_t mostChangeLines = 20;
     constexpr Duration changeLinesPeriod = 1s;
     constexpr std::size_t callBytes = 16 * 1024 * 1024;
@@ -39,7 +39,7 @@
         return names[static_cast<std::size_t>(state)];
     }
 
-    // Whole datagrams in, one handler call each.
+    // A UDP socket that calls the handler for each received datagram.
     class Datagrams {
     public:
         Datagrams(boost::asio::io_context& io, std::function<void(std::string_view)> handler)
@@ -62,7 +62,7 @@
             return true;
         }
 
-        // Lost when the system has no room: datagrams may be lost anyhow.
+        // Drops the datagram if the socket buffer is full: receivers must cope with lost datagrams anyway.
         void send(const PeerAddress& to, std::string_view bytes)
         {
             boost::system::error_code ignored;
@@ -75,7 +75,7 @@
             socket_.async_receive_from(boost::asio::buffer(buffer_), from_, [this](const boost::system::error_code& error, std::size_t size) {
                 if (error == boost::asio::error::operation_aborted)
                     return;
-                // Other errors are a peer's "port unreachable": the socket itself is well.
+                // Other errors report an ICMP "port unreachable" of a peer; the socket itself still works.
                 if (!error)
                     handler_(std::string_view(buffer_.data(), size));
                 receive();
@@ -211,7 +211,8 @@
         publishReport();
 }
 
-// Failure met: a fleet of 295 hosts that starts at once has each of them write a line for each other one, and lines of decisions are dropped.
+// Limits the log lines for membership changes. When a fleet of 295 hosts started at once, each host logged a line for every other one,
+// which used up the budget of DecisionLog, so that lines about decisions were dropped.
 void Fleet::logChange(const MemberRumor& member)
 {
     if (changes_++ < mostChangeLines) {
--- a/libs/serving/src/Fleet.h
+++ b/libs/serving/src/Fleet.h
@@ -1,7 +1,7 @@
-// The other nodes: who lives, what each runs at the engines, and calls between nodes.
+// Connects this node to the other nodes of the fleet: membership, load reports, and calls between nodes.
 //
-// Membership (libs/membership) finds and buries nodes; ReportExchange.h says who hears what each runs. This class puts sockets around
-// both. All on the caller's thread.
+// Membership (libs/membership) discovers nodes and detects their failure; ReportExchange.h distributes the load reports. This class
+// provides the sockets for both. All work runs on the caller's thread.
 #pragma once
 
 #include "DecisionLog.h"
@@ -23,7 +23,7 @@
 namespace jj {
 
 struct FleetOptions {
-    PeerAddress at_; // UDP of membership and TCP of calls; reports on the port after it
+    PeerAddress at_; // UDP port of membership and TCP port of calls; reports use the next UDP port
     std::vector<PeerAddress> seeds_;
     RegionId region_;
     FailureDomainId domain_;
@@ -34,80 +34,85 @@
 };
 
 struct FleetHandlers {
-    // As those of ReportExchange.h.
+    // The handlers down to onCell_ have the same meaning as in ExchangeOutlets.
     std::function<NodeReport()> ownReport_;
     std::function<KnownVersions()> ownVersions_;
     std::function<CellUse()> ownCell_;
     std::function<void(const NodeReport&, bool isMate)> onReport_;
     std::function<void(const CellSummary&, TimePoint at)> onCell_;
     std::function<void(const GiveWay&)> onGiveWay_;
+    // The node was live and has been declared dead or has left.
     std::function<void(NodeId)> onGone_;
-    // A mark of content that crashes engines, see CrashSuspects.h.
+    // Another node has published a mark of request content that crashes engines, see CrashSuspects.h.
     std::function<void(Fingerprint mark, Duration remaining)> onCrashMark_;
-    // Nodes and engines belong to other cells than before.
+    // The assignment of nodes and engines to cells has changed.
     std::function<void()> onCellsChanged_;
-    // The membership of this node had lapsed: others believed it dead.
+    // This node has rejoined the fleet as a new incarnation, for example after the others had declared it dead.
     std::function<void()> onRejoined_;
-    // Answers a peer's call, now or later; at most once.
+    // Answers a call of a peer. The reply function is called at most once, either immediately or later.
     std::function<void(PeerCall, std::function<void(PeerReply)>)> onCall_;
 };
 
 class Fleet {
 public:
-    // Errors: the address can't be listened on.
+    // Returns an error if the ports of options.at_ can't be opened.
     static Result<std::unique_ptr<Fleet>> create(boost::asio::io_context& io, const FleetOptions& options, DecisionLog& log, FleetHandlers handlers);
     ~Fleet();
 
     void tick(TimePoint now, WallTime wall);
-    // This node's report has changed; it goes out before the loop turns again, or at the cell's pace if that is slower.
+    // Schedules the sending of this node's changed report: in the next iteration of the event loop, or later if ReportPace requires it.
     void publishReport();
-    // Asks a node that runs a batch item on the engine, or a delegate of its cell, to stop it.
+    // Requests that a batch item on the engine is preempted. `holder` runs such an item, or is a delegate of a cell that does.
     void giveWay(NodeId holder, UpstreamId engine);
-    // The same for another node that asked this one, as the delegate of its cell.
+    // Forwards a preemption request, which this node received as a delegate, to the node of its cell that runs the item.
     void passOnGiveWay(const GiveWay& ask, NodeId holder);
     using ReplyHandler = std::function<void(Result<PeerReply>)>;
-    // Calls a peer; completes with Unreachable after `bound`.
+    // Calls a peer. Completes with PeerError::Unreachable if the peer is unknown or doesn't reply within `bound`.
     void ask(NodeId node, const PeerCall& call, Duration bound, ReplyHandler done);
 
-    // Tells all nodes a mark of content that crashes engines.
+    // Distributes a mark of request content that crashes engines to all nodes.
     void publishCrashMark(Fingerprint mark, Duration remaining);
 
     void beginLeaving();
     bool isLeaving() const { return exchange_->isLeaving(); }
-    // The last reports, before the process ends.
+    // Announces that this node has left the fleet, just before the process exits.
     void finishLeaving();
 
     NodeId self() const { return self_; }
     RegionId region() const { return options_.region_; }
-    // Of a node that isn't known: this one's.
+    // Returns the region of a node; for an unknown node the region of this one.
     RegionId regionOf(NodeId node) const;
     const Cells& cells() const { return exchange_->cells(); }
     std::vector<CellSummary> summaries(TimePoint now) const { return exchange_->summaries(now); }
     CellId ownCell() const { return exchange_->ownCell(); }
-    // Live nodes of this node's cell, this one included.
+    // Returns the live nodes of this node's cell, including this node.
     const std::vector<NodeId>& mates() const { return exchange_->mates(); }
-    // A node that was never heard of counts as live until this node has been up for settleTime.
+    // Returns whether a node is live. An unknown node counts as live while this process has just started, since membership may not have
+    // discovered it yet.
     bool isLive(NodeId node) const;
     const std::vector<Peer>& peers() const { return peers_.rows(); }
-    // Null: never heard of.
+    // Returns null if the node is unknown.
     const Peer* peer(NodeId node) const { return peers_.find(node); }
-    // This process still learns who the others are.
+    // Returns whether this process is still fetching the list of members.
     bool isJoining() const { return core_->isJoining(); }
     std::size_t livePeers() const { return peers_.liveNear() + peers_.liveFar(); }
-    // For logs; empty when it isn't known.
+    // Returns the address of a node for logs and operators; empty for an unknown node.
     std::string addressOf(NodeId node) const;
-    // Of this node.
+    // Returns the address of this node.
     std::string address() const { return options_.at_.toString(); }
-    // Of the live nodes that run jobs and don't leave, in the region of `former` if there are any: who should own the job.
-    // Without such nodes any live node serves. None when this node is alone and leaves.
+    // Returns the node that should own the job, `former` being its previous owner. Chooses by rendezvous hashing among the live nodes that
+    // aren't leaving: first among those that run jobs in the region of `former`, then among all that run jobs, then among all. Returns
+    // none if no such node exists, which happens when this node is alone and leaving.
     NodeId preferredOwner(std::string_view job, NodeId former) const;
-    // What decides whether this node follows the store.
+    // Returns the state of the other nodes that WatchChoice uses to decide whether this node follows the store.
     std::vector<WatchPeer> watchPeers() const;
-    // Hosts that can keep a job on their disks, as many as the losses to be borne ask for; empty when there are too few.
+    // Chooses the hosts that spool a job on their disks, as many as `losses` requires and none of `without`. Returns an empty list if too
+    // few hosts are available.
     std::vector<NodeId> keepersOf(const TolerableLosses& losses, const std::vector<NodeId>& without);
-    // Some host had jobs on its disk when it was last heard.
+    // Returns whether a peer reported spooled jobs within the last minute.
     bool anyKeepsJobs() const;
-    // Some node that runs jobs can't be heard, so it may believe the same of this one.
+    // Returns whether the reports of a peer that runs jobs have stopped recently. That peer may have lost the reports of this node as
+    // well, and may take over its jobs.
     bool mayBeReplaced() const;
 
 private:
@@ -140,16 +145,16 @@
     std::unique_ptr<MembershipCore> core_;
     PeerTable peers_;
     std::unique_ptr<ReportExchange> exchange_;
-    std::uint64_t keeperTurn_ = 0; // so that jobs spread over the hosts
+    std::uint64_t keeperTurn_ = 0; // varies the choice, so that spooled jobs are spread over the hosts
     bool reportPosted_ = false;
-    // Changes of members since changesSince_: lines for the first ones, and counts by state of the rest.
+    // Membership changes since changesSince_. The first ones are logged one by one; unlogged_ counts the rest by state.
     TimePoint changesSince_ {};
     std::uint32_t changes_ = 0;
     std::array<std::uint32_t, 4> unlogged_ {};
     TimePoint tickedAt_ {};
     TimePoint startedAt_ {};
     TimePoint now_ {};
-    // Lives as long as this object; what is posted looks at it first.
+    // Set to false by the destructor. Posted callbacks share it and check it before they use this object.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/libs/serving/src/FleetPage.cpp
+++ b/libs/serving/src/FleetPage.cpp
@@ -1,4 +1,4 @@
-// One object a cell.
+// Builds one JSON object for each cell.
 #include "FleetPage.h"
 
 #include <boost/json.hpp>
--- a/libs/serving/src/FleetPeers.cpp
+++ b/libs/serving/src/FleetPeers.cpp
@@ -1,4 +1,4 @@
-// What a node thinks of the others: who lives, who should own a job, watch the store or keep a copy.
+// Evaluates the table of peers: which nodes are live, and which should own a job, follow the store or spool a job.
 #include "Fleet.h"
 
 #include "base/Hash.h"
@@ -10,11 +10,12 @@
 
 namespace {
 
-    // At start nobody is known; by then membership has met everybody who lives.
+    // Time after the start by which membership has discovered all live nodes.
     constexpr Duration settleTime = 4s;
-    // A report that is so fresh proves more than a probe that failed.
+    // A report received within this time outweighs a failed membership probe.
     constexpr Duration freshReport = 1200ms;
-    // A host that died with jobs on its disk brings them when it is back; by then the others that keep them have done so.
+    // Spooled jobs of a host that has been silent for longer are ignored. By then the other hosts with copies have written them to the
+    // store; the silent host submits its copies when it restarts.
     constexpr Duration keptJobsRemembered = 60s;
 
 } // namespace
@@ -45,7 +46,7 @@
 {
     const RegionId region = former == self_ || former.isNone() ? options_.region_ : regionOf(former);
     const std::uint64_t jobHash = hash64(job);
-    // In order: runs jobs and stands in the region, runs jobs, any node.
+    // By preference: nodes that run jobs in the region, nodes that run jobs elsewhere, all other nodes.
     std::array<std::pair<std::uint64_t, NodeId>, 3> best {};
     const auto consider = [&](NodeId node, RegionId nodeRegion, bool runsJobs) {
         const std::uint64_t weight = mixHash(jobHash, node.value());
--- a/libs/serving/src/PeerLag.h
+++ b/libs/serving/src/PeerLag.h
@@ -1,7 +1,8 @@
-// When a node asks for what a peer has and it doesn't.
+// Decides when a node requests an update after a peer has reported a newer version.
 //
-// A passive node asks at once, since nobody else brings it. One that follows the store waits for its own answer for a while first. Neither asks
-// again before FollowerTimes::askEvery_: while engines register there are new versions all the time.
+// A passive node doesn't read changes from the store, so it requests the update immediately. A node that follows the store first waits
+// FollowerTimes::behindBound_ for the change to arrive from there. Requests are at least FollowerTimes::askEvery_ apart, because new
+// versions appear constantly while engines register.
 #pragma once
 
 #include "FollowerTimes.h"
@@ -17,7 +18,8 @@
     {
     }
 
-    // A peer has that version, which this node doesn't know. True: a passive node asks now.
+    // Records that a peer has `version`, which this node hasn't applied. Returns true if the node should request an update now; only a
+    // passive node does so immediately.
     bool mustAsk(std::uint64_t version, bool isPassive, TimePoint now)
     {
         if (version <= version_)
@@ -27,14 +29,14 @@
         return isPassive && mayAsk(now);
     }
 
-    // This node still doesn't know version(). True: it asks now.
+    // Called while this node hasn't applied version() yet. Returns true if it should request an update now.
     bool mustAskAgain(bool isPassive, TimePoint now)
     {
         const Duration patience = isPassive ? Duration::zero() : times_.behindBound_;
         return now - aheadSince_ >= patience && mayAsk(now);
     }
 
-    // The newest that a peer has; 0: none was heard of.
+    // Returns the newest version that a peer has reported; 0 if none has.
     std::uint64_t version() const { return version_; }
 
 private:
--- a/libs/serving/src/PeerMessages.cpp
+++ b/libs/serving/src/PeerMessages.cpp
@@ -1,4 +1,4 @@
-// Fields in the order in which the header declares them.
+// Serializes the fields of each message in the order of their declaration.
 #include "PeerMessages.h"
 
 #include <cereal/archives/binary.hpp>
@@ -20,17 +20,17 @@
         {
             switch (static_cast<PeerError>(value)) {
             case PeerError::Unauthentic:
-                return "a message of a peer doesn't carry the fleet's code";
+                return "authentication of a peer message failed";
             case PeerError::Unreadable:
-                return "a message of a peer can't be read";
+                return "a peer message can't be decoded";
             case PeerError::Unreachable:
-                return "the peer gave no answer";
+                return "no valid reply from the peer";
             }
             return "unknown error";
         }
     };
 
-    // Each kind of message has its own label under the code, so that one is never taken for another.
+    // The authentication code covers a label for the kind of message, so that a call is never accepted as a reply or the reverse.
     constexpr std::string_view callLabel = "serving call 3";
     constexpr std::string_view replyLabel = "serving reply 3";
 
@@ -42,10 +42,10 @@
     return { static_cast<int>(error), category };
 }
 
-// ---- cereal finds these by their arguments; its names are its own.
+// ---- cereal finds these functions by argument-dependent lookup; it prescribes their names.
 // NOLINTBEGIN(readability-identifier-naming)
 
-// An error travels as its number; only the store's errors are sent.
+// Sends an error as its number, which is unambiguous because answers only carry errors of the store.
 template <class Archive>
 void save(Archive& archive, const ObjectAnswer& answer)
 {
@@ -283,7 +283,7 @@
 
 std::size_t EngineUpdate::bytes() const
 {
-    constexpr std::size_t frame = 40; // lengths, versions and keys
+    constexpr std::size_t frame = 40; // estimated size of the lengths, versions and the key of an entry
     std::size_t sum = (entries_.size() + unchanged_.size() + removed_.size() + missing_.size() + gaps_.size()) * frame;
     for (const ObjectEntry& entry : entries_)
         sum += entry.value_.size();
--- a/libs/serving/src/PeerMessages.h
+++ b/libs/serving/src/PeerMessages.h
@@ -1,7 +1,7 @@
-// Calls between serving nodes: jobs, reads, updates, and calls of the store. Datagrams stand in ReportMessages.h.
+// Calls between serving nodes: jobs, reads, updates, and relayed calls to the store. ReportMessages.h has the datagrams.
 //
-// Coded with cereal and closed with a code of the fleet's key (wire/Key.h). Bytes that don't verify are never decoded, so a decoder
-// sees only what a peer encoded.
+// Messages are encoded with cereal and end with an authentication code of the fleet's key (wire/Key.h). Bytes that fail the
+// authentication are never decoded, so the decoder only sees what a peer has encoded.
 #pragma once
 
 #include "RemovalHistory.h"
@@ -19,67 +19,71 @@
 
 namespace jj {
 
-// The store doesn't serve the sender; the receiver makes the call in its place.
+// Asks the receiver to make a call to the store, which the sender can't reach itself.
 struct StoreAsk {
     ObjectCall call_;
 };
-// What has changed since the versions that the sender has.
+// Requests all changes since the versions that the sender has.
 struct UpdateRequest {
     std::uint64_t configVersion_ = 0;
     std::uint64_t enginesVersion_ = 0;
 };
+// Transfers the ownership of a job to the receiver.
 struct AdoptAsk {
     JobTransfer job_;
 };
+// Reads results of a job after position after_. The receiver may wait for up to waitMs_ until there are some.
 struct ReadAsk {
     JobName job_;
     std::uint32_t after_ = 0;
     std::uint32_t waitMs_ = 0;
 };
+// Reads the request body of an item.
 struct BodyAsk {
     JobName job_;
     std::string item_;
 };
+// Cancels a job for its caller.
 struct EndAsk {
     JobName job_;
 };
-// The store takes no jobs; the receiver keeps this one on its disk until it does.
+// Asks the receiver to spool a job on its disk until the store accepts jobs again.
 struct KeepAsk {
     KeptJob job_;
 };
-// The store has the job; a copy is of no use any more.
+// Asks the receiver to delete its spooled copy of a job, because the store has the job now.
 struct ForgetAsk {
     JobName job_;
 };
-// The sender follows the store, and found an object of a kind that concerns hosts that run jobs: the mark of a job's end, or an order to
-// empty a host.
+// Notifies a host that runs jobs of an object that the sender, which follows the store, has found: the mark of a job that was
+// cancelled bypassing its owner, or an order to drain a host.
 struct FoundObject {
     std::string key_;
 };
 using PeerCall = std::variant<StoreAsk, UpdateRequest, AdoptAsk, ReadAsk, BodyAsk, EndAsk, KeepAsk, ForgetAsk, FoundObject>;
 
-// An engine that the store doesn't name any more, and that the sender still uses; see EngineCatalog.h.
+// An engine whose entry the store no longer has, while the sender still uses the engine; see EngineCatalog.h.
 struct MissingEngine {
     std::string key_;
     ObjectVersion version_; // of the removal
-    Duration goneIn_ {}; // from when this was sent
+    Duration goneIn_ {}; // remaining time until the sender removes the engine, as of the time of sending
 };
 struct EngineUpdate {
-    std::uint64_t version_ = 0; // of the newest change in it; 0: the receiver knows no engines
-    bool isWhole_ = false; // engines that neither entries_ nor unchanged_ names are gone
-    std::vector<ObjectEntry> entries_; // with values, as the store holds them
-    std::vector<std::string> unchanged_; // whole: keys of engines that the receiver knows as they are
-    std::vector<std::string> removed_; // not whole: keys
+    std::uint64_t version_ = 0; // of the newest change in the update; 0: the sender hasn't received any engines yet
+    bool isWhole_ = false; // a full state: engines in neither entries_ nor unchanged_ have been removed
+    std::vector<ObjectEntry> entries_; // new and changed entries, with their values as in the store
+    std::vector<std::string> unchanged_; // keys of engines of which the requester has the current entry; only in a full state
+    std::vector<std::string> removed_; // keys of removed engines; only in an incremental update
     std::vector<MissingEngine> missing_;
-    std::vector<VersionGap> gaps_; // where the sender may have missed removals, see RemovalHistory.h
+    std::vector<VersionGap> gaps_; // version ranges in which the sender may have missed removals, see RemovalHistory.h
 
-    // About what it takes on the wire.
+    // Returns the approximate size on the wire.
     std::size_t bytes() const;
 };
 struct UpdateReply {
-    std::string config_; // as the store holds it; empty: none newer
+    std::string config_; // the configuration as in the store; empty if the sender has no newer one
     EngineUpdate engines_;
-    bool isBusy_ = false; // no update: the sender has too many askers, and another peer has the same
+    bool isBusy_ = false; // no update: the sender's budget for updates is used up; another peer can supply it
 };
 struct AdoptReply {
     bool taken_ = false;
@@ -90,9 +94,9 @@
 using PeerReply = std::variant<ObjectAnswer, UpdateReply, AdoptReply, ReadAnswer, BodyAnswer, EndAnswer, KeepReply>;
 
 enum class PeerError : int {
-    Unauthentic = 1, // the code doesn't fit the bytes
-    Unreadable, // another version of the program wrote them
-    Unreachable, // no answer
+    Unauthentic = 1, // the authentication code is wrong
+    Unreadable, // decoding failed, for example because the peer runs another version of the program
+    Unreachable, // the peer is unknown or gave no valid reply
 };
 std::error_code make_error_code(PeerError error);
 
--- a/libs/serving/src/PeerTable.cpp
+++ b/libs/serving/src/PeerTable.cpp
@@ -1,4 +1,4 @@
-// Rows stay for the life of the process: an address that is gone costs about a hundred bytes.
+// Rows are never removed while the process runs: the row of a node that has left takes only about 100 bytes.
 #include "PeerTable.h"
 
 namespace jj {
--- a/libs/serving/src/PeerTable.h
+++ b/libs/serving/src/PeerTable.h
@@ -1,6 +1,6 @@
-// The other nodes as this one knows them: what membership says of each, and its last own report.
+// Holds, for each other node, its membership state and the content of its last report.
 //
-// Counts and the revision are kept while rows change, so that what is asked at each tick costs nothing that grows with the fleet.
+// The counts of live nodes and the revision are updated with each change, so that the queries of each tick take constant time.
 #pragma once
 
 #include "base/Id.h"
@@ -22,8 +22,8 @@
     MemberState state_ = MemberState::Alive;
     bool leaving_ = false;
     bool runsJobs_ = false;
-    TimePoint goneAt_ {}; // meaningful while it doesn't live
-    TimePoint heardAt_ {}; // its last own report, or when the delegate of its cell said that it had heard it
+    TimePoint goneAt_ {}; // only valid while the node isn't live
+    TimePoint heardAt_ {}; // last time when its report arrived, or a summary of its cell that lists it
     std::uint64_t configVersion_ = 0;
     std::uint64_t enginesVersion_ = 0;
     bool watching_ = false;
@@ -36,28 +36,28 @@
 
 class PeerTable {
 public:
-    // `region`: of this node.
+    // `region` is the region of this node.
     explicit PeerTable(RegionId region)
         : region_(region)
     {
     }
 
     struct Change {
-        bool hasCome_ = false; // it lives, and did not before
-        bool hasGone_ = false; // it lived, and does not now
+        bool hasCome_ = false; // the node is live now and wasn't before
+        bool hasGone_ = false; // the node was live before and isn't now
     };
     Change apply(const MemberRumor& member, TimePoint now);
 
-    // Null: never heard of.
+    // Returns null if the node is unknown.
     Peer* find(NodeId node);
     const Peer* find(NodeId node) const;
-    // In the order in which they were first heard of.
+    // Returns all known nodes in the order of their discovery.
     const std::vector<Peer>& rows() const { return rows_; }
 
-    // Live nodes of this node's region and of all others.
+    // Return the number of live nodes in this node's region, and in all other regions.
     std::size_t liveNear() const { return liveNear_; }
     std::size_t liveFar() const { return liveFar_; }
-    // Grows with each change that membership tells.
+    // Returns a number that increases with each membership change.
     std::uint64_t revision() const { return revision_; }
 
 private:
@@ -65,8 +65,8 @@
 
     RegionId region_;
     std::vector<Peer> rows_;
-    boost::unordered_flat_map<NodeId, std::size_t, std::hash<NodeId>> places_; // in rows_
-    // Invariant: rows of the region, and of others, that are live.
+    boost::unordered_flat_map<NodeId, std::size_t, std::hash<NodeId>> places_; // indices into rows_
+    // Invariant: the number of live rows in this node's region, and in all other regions.
     std::size_t liveNear_ = 0;
     std::size_t liveFar_ = 0;
     std::uint64_t revision_ = 0;
--- a/libs/serving/src/ReportExchange.cpp
+++ b/libs/serving/src/ReportExchange.cpp
@@ -1,4 +1,4 @@
-// Periods decide; the tick compares times.
+// Sends reports and summaries periodically, as decided at each tick.
 #include "ReportExchange.h"
 
 #include <algorithm>
@@ -7,21 +7,22 @@
 
 namespace {
 
-    // The whole report goes out again, so that lost datagrams are made good.
+    // An unchanged report is repeated after this time, to make up for lost datagrams.
     constexpr Duration refreshPeriod = 500ms;
-    // Of a node that sums up: a report that is so fresh shows that its sender lives and can be heard.
+    // A delegate lists a node in its summary only if the last report of the node is newer than this.
     constexpr Duration freshReport = 1200ms;
-    // Between two summaries of a cell, when something changes: small fleets tell each other sooner.
+    // Time between two summaries of a changed cell. It grows with the fleet within the bounds below, so small fleets update faster.
     constexpr Duration summaryPeriodPerNode = 5ms;
     constexpr Duration leastSummaryPeriod = 45ms;
     constexpr Duration longestSummaryPeriod = 250ms;
-    // Without a change; well under the time for which a cell's summary counts.
+    // Time between two summaries of an unchanged cell; well below CapacitySettings::cellTimeout_, after which a summary expires.
     constexpr Duration summaryRefresh = 500ms;
-    // A new version of the configuration or the engines is sent as soon as this.
+    // Minimum time between two summaries if the second one reports a new version of the configuration or the engines.
     constexpr Duration versionSpacing = 20ms;
-    // Nodes that are gone count for the cut into cells for so long: it shouldn't change while many restart.
+    // Nodes that aren't live count for the split into cells for this time, so that the split doesn't change while many nodes restart.
     constexpr Duration goneCounts = 60s;
-    // The cut follows nodes that are gone for good.
+    // Without a membership change the cells are rebuilt after this time, to drop nodes that have been down for longer than
+    // goneCounts.
     constexpr Duration cellsRefresh = 10s;
 
 } // namespace
@@ -42,7 +43,7 @@
     isDirty_ = true;
 }
 
-// A report that comes too early goes with a later tick.
+// A report that the pace doesn't allow yet is sent by a later tick.
 void ReportExchange::sendPending(TimePoint now)
 {
     if (pending_ && now >= pace_.nextAt())
@@ -60,7 +61,7 @@
     pending_ = false;
     reportedAt_ = now;
     pace_.sent(now);
-    // Who follows the store is known to everybody at once: others begin or stop to follow it by that.
+    // All nodes need to know immediately who follows the store, because they start or stop following it accordingly.
     const bool isWatchNew = report.watching_ != reportedWatching_;
     reportedWatching_ = report.watching_;
     if (!toAll && !isWatchNew)
@@ -97,7 +98,7 @@
     outlets_.onReport_(report, cells_.cellOf(report.use_.node_) == ownCell());
 }
 
-// ---- the periodic work
+// ---- periodic work
 
 void ReportExchange::tick(TimePoint now)
 {
@@ -234,7 +235,8 @@
         known.isPassedOn_ = true;
         CellSummary& summary = summaries.emplace_back(known.summary_);
         summary.age_ = now - known.at_;
-        // Who is behind asks a node of its own cell, as soon as that knows as much: else all would ask one delegate far away.
+        // Versions that this node hasn't applied yet aren't advertised to its cell. Otherwise all nodes of the cell would request the
+        // update from one remote delegate; this way they request it within their cell once a node there has it.
         summary.configVersion_ = std::min(summary.configVersion_, versions.config_);
         summary.enginesVersion_ = std::min(summary.enginesVersion_, versions.engines_);
     }
--- a/libs/serving/src/ReportExchange.h
+++ b/libs/serving/src/ReportExchange.h
@@ -1,16 +1,19 @@
-// Which node gets reports of what the others run, and when.
+// Distributes load reports between the nodes of the fleet.
 //
-// A node reports each change to the nodes of its cell (Cells.h) at once, or at the cell's pace. Each cell has two delegates, which sum up
-// what they hear and send the sum to the delegates of the other cells; those pass it on to their own cell. So what a node hears grows
-// with its cell and with the number of cells, and not with the nodes.
+// A node reports each change of its load to the other nodes of its cell (Cells.h), immediately or as ReportPace.h allows. Each cell has two
+// delegates, which summarize the reports of their cell and send the summary to the delegates of the other cells; those forward it to the
+// nodes of their own cell. The number of datagrams that a node receives therefore depends on the size of its cell and the number of
+// cells, and not on the number of nodes.
 //
-// Failure met: every node sent its report to every other one twice a second. It shows as 600 datagrams a second and node in a fleet of 295, of
-// which 380 came from outside the cell, as 5.5 MB a second between regions, and as days that take more of the processors than there is.
+// Without cells, every node sent its report to every other node twice a second. In a fleet of 295 nodes each node received 600 datagrams a
+// second, 380 of them from outside its cell; 5.5 MB a second crossed between regions, and a test day needed more processor time than the
+// machine had.
 //
-// Failure met: a delegate is paused or cut off, and nobody knows for two seconds. The guard: both delegates send, each to the delegate of its
-// own rank, the second one less often; what comes first is taken.
+// It takes up to two seconds to detect that a delegate is paused or partitioned. Therefore both delegates send summaries, each to the
+// delegates of its own rank and the second one less often. A receiver uses a summary if it is newer than the last one that it has of the
+// cell.
 //
-// No socket or clock: times and datagrams go in, and datagrams with their receivers come out.
+// This class uses no socket or clock: the caller passes in the time and received datagrams, and sends the datagrams it produces.
 #pragma once
 
 #include "Cells.h"
@@ -39,52 +42,53 @@
 };
 
 struct ExchangeOutlets {
-    // What goes out with each report of this node; node, incarnation and sequence are filled in here.
+    // Returns the content of this node's next report. ReportExchange fills in the node, its incarnation and the sequence number.
     std::function<NodeReport()> ownReport_;
     std::function<KnownVersions()> ownVersions_;
-    // What its cell runs, by all that this node has heard.
+    // Returns the load of this node's cell, according to the reports that this node has received.
     std::function<CellUse()> ownCell_;
-    // `isMate`: of this node's cell.
+    // A report of another node has arrived. `isMate` says whether that node is in the same cell.
     std::function<void(const NodeReport&, bool isMate)> onReport_;
-    // Of another cell, as it was at `at`.
+    // A summary of another cell has arrived, which describes its state at the time `at`.
     std::function<void(const CellSummary&, TimePoint at)> onCell_;
-    // Nodes and engines belong to other cells than before.
+    // The assignment of nodes and engines to cells has changed.
     std::function<void()> onCellsChanged_;
     std::function<void(std::span<const PeerAddress>, const PeerDatagram&)> send_;
 };
 
 class ReportExchange {
 public:
-    // `peers` outlives this object.
+    // `peers` must outlive this object.
     ReportExchange(const ExchangeSelf& self, PeerTable& peers, ExchangeOutlets outlets);
 
-    // This node's report has changed; it goes out with sendPending(), or at the cell's pace if that is slower.
+    // Marks this node's report as changed, so that sendPending() or a later tick sends it.
     void publish();
+    // Sends the changed report if the report pace allows it now.
     void sendPending(TimePoint now);
     void tick(TimePoint now);
     void received(const NodeReport& report, TimePoint now);
     void received(const CellDigest& digest, TimePoint now);
-    // From now on each report says that this node leaves.
+    // Sends a report to all live nodes that this node is leaving; all later reports say so too.
     void beginLeaving(TimePoint now);
 
     const Cells& cells() const { return cells_; }
     CellId ownCell() const { return cells_.cellOf(self_.node_); }
-    // Live nodes of this node's cell, this one included.
+    // Returns the live nodes of this node's cell, including this node.
     const std::vector<NodeId>& mates() const { return cells_.nodesOf(ownCell()); }
     bool isLeaving() const { return leaving_; }
-    // This node's cell, and the others as they were heard last, with the age of each.
+    // Returns a fresh summary of this node's cell and the last received summary of each other cell, with their ages.
     std::vector<CellSummary> summaries(TimePoint now) const;
 
 private:
     struct Known {
         CellSummary summary_;
         TimePoint at_ {};
-        bool isPassedOn_ = false; // to this node's cell
+        bool isPassedOn_ = false; // forwarded to the nodes of this node's cell
     };
 
     void refreshCells(TimePoint now);
     void sendReport(bool toAll, TimePoint now);
-    // This node's rank among its cell's delegates; none: delegatesOfCell.
+    // Returns this node's rank among the delegates of its cell, or their number if this node isn't one.
     std::size_t delegateRank() const;
     void tickDelegate(TimePoint now);
     void sendSummary(std::size_t rank, TimePoint now);
@@ -97,22 +101,22 @@
     PeerTable& peers_;
     ExchangeOutlets outlets_;
     Cells cells_;
-    std::uint64_t seenRevision_ = 0; // of peers_, at the last look at the cells
+    std::uint64_t seenRevision_ = 0; // revision of peers_ at the last rebuild of the cells
     TimePoint cellsAt_ {};
     std::vector<PeerAddress> mateAddresses_;
 
     std::uint32_t sequence_ = 0;
     ReportPace pace_;
-    bool pending_ = false; // a report is to be sent, as soon as the pace allows
+    bool pending_ = false; // a report has to be sent as soon as the pace allows
     TimePoint reportedAt_ {};
     bool reportedWatching_ = false;
     bool leaving_ = false;
 
-    bool isDirty_ = false; // something of this cell has changed since the last summary
+    bool isDirty_ = false; // the load of this cell has changed since the last summary
     TimePoint summedUpAt_ {};
     TimePoint passedOnAt_ {};
-    std::uint64_t sentVersions_ = 0; // sum of the versions in the last summary: both only grow
-    std::map<CellId, Known> known_; // other cells that were heard
+    std::uint64_t sentVersions_ = 0; // sum of both versions in the last summary; neither ever decreases
+    std::map<CellId, Known> known_; // other cells from which a summary was received
 };
 
 } // namespace jj
--- a/libs/serving/src/ReportMessages.cpp
+++ b/libs/serving/src/ReportMessages.cpp
@@ -1,4 +1,4 @@
-// Fields in the order in which the header declares them.
+// Serializes the fields of each message in the order of their declaration.
 #include "ReportMessages.h"
 
 #include "PeerMessages.h"
@@ -13,13 +13,14 @@
 
 namespace {
 
-    // Beyond these a report is cut short: the sender has more engines in use, or services with waiters, than a datagram holds.
+    // Maximum lengths of the lists in a datagram. Longer lists are truncated before sending, when a node or cell uses more engines, or has
+    // more services with queued work, than a datagram can hold.
     constexpr std::size_t mostUses = 700;
     constexpr std::size_t mostShunned = 256;
     constexpr std::size_t mostServices = 64;
     constexpr std::size_t mostNodes = 64;
     constexpr std::size_t mostCells = 64;
-    // Bytes on the wire, see the fields below.
+    // Sizes on the wire, which follow from the fields serialized below. They serve to pack digests into frames.
     constexpr std::size_t summaryBytes = 64;
     constexpr std::size_t useBytes = 14;
     constexpr std::size_t idBytes = 8;
@@ -60,7 +61,7 @@
 
 } // namespace
 
-// ---- cereal finds these by their arguments; its names are its own.
+// ---- cereal finds these functions by argument-dependent lookup; it prescribes their names.
 // NOLINTBEGIN(readability-identifier-naming)
 
 template <class Archive>
--- a/libs/serving/src/ReportMessages.h
+++ b/libs/serving/src/ReportMessages.h
@@ -1,7 +1,7 @@
-// Datagrams between nodes: what each runs, what whole cells run, and requests for slots.
+// Datagrams between nodes: load reports of nodes, load summaries of cells, and preemption requests.
 //
-// Coded with cereal's portable archive within fixed limits, and closed with a code of the fleet's key (wire/Key.h). Whatever the bytes,
-// decoding allocates no more than the limits allow.
+// Messages are encoded with cereal's portable archive and end with an authentication code of the fleet's key (wire/Key.h). The lengths of
+// all lists are limited, so decoding allocates a bounded amount of memory whatever the bytes are.
 #pragma once
 
 #include "base/Result.h"
@@ -17,65 +17,69 @@
 
 namespace jj {
 
-// What fits into a frame of the network with room for tunnels.
+// A datagram of this size fits into one network frame, with room for tunnel headers.
 constexpr std::size_t frameBytes = 1400;
-// The largest datagram that is taken; one that doesn't fit a frame is sent in parts by the network.
+// The largest datagram that is received. IP fragments datagrams that are larger than a frame.
 constexpr std::size_t mostDatagramBytes = 16 * 1024;
 
-// A node's own report; the latest replaces all earlier ones.
+// The load and state of a node as it reports them. A report replaces all earlier ones of the node.
 struct NodeReport {
     NodeUse use_;
     bool runsJobs_ = false;
     bool leaving_ = false;
-    std::uint64_t configVersion_ = 0; // that it applies; 0: none
-    std::uint64_t enginesVersion_ = 0; // of the last change of an engine's entry that it knows; 0: none
-    bool watching_ = false; // it follows the store itself, and the store answers it
-    bool keepsJobs_ = false; // it has a disk, and takes jobs onto it while the store is away
-    std::uint32_t keptJobs_ = 0; // on its disk now
-    bool lostStore_ = false; // the store gives it no answer; peers may carry its calls
+    std::uint64_t configVersion_ = 0; // of the configuration that the node applies; 0: none
+    std::uint64_t enginesVersion_ = 0; // of the last change of an engine's entry that the node has applied; 0: none
+    bool watching_ = false; // the node follows the store itself, and the store answers it
+    bool keepsJobs_ = false; // the node has a disk and spools jobs on it while the store is unavailable
+    std::uint32_t keptJobs_ = 0; // number of jobs that are spooled on its disk
+    bool lostStore_ = false; // the node can't reach the store itself; peers may relay its calls
 };
 
-// The sender sends a question to an engine whose slots are full, and the receiver, or a node of its cell, has a batch item there.
+// Requests the preemption of a batch item: the sender sends an online request to an engine without free slots, where the receiver, or a
+// node of its cell, runs a batch item.
 struct GiveWay {
     NodeId from_;
     UpstreamId engine_;
-    bool isPassedOn_ = false; // by the delegate of the cell that has the item
+    bool isPassedOn_ = false; // forwarded by a delegate of the cell that runs the item
 };
 
-// A node that others rely on (it runs jobs, follows the store or keeps jobs on its disk), or that an operator looks for.
+// A node of a cell that others rely on, because it runs jobs, follows the store or holds spooled jobs, or that needs an operator's
+// attention.
 struct CellNode {
     NodeId node_;
     bool runsJobs_ = false;
     bool watching_ = false;
     bool keepsJobs_ = false;
     std::uint32_t keptJobs_ = 0;
-    bool isBehind_ = false; // it applies an older configuration than the delegate
+    bool isBehind_ = false; // the node applies an older configuration than the delegate
     bool lostStore_ = false;
 };
 
-// A cell as one of its delegates sees it; the latest replaces all earlier ones of the cell.
+// The load and state of a cell as one of its delegates sees them. A summary replaces all earlier ones of the cell.
 struct CellSummary {
     CellUse use_;
-    Duration age_ {}; // when it was sent
-    std::uint64_t configVersion_ = 0; // of the delegate
+    Duration age_ {}; // at the time of sending
+    std::uint64_t configVersion_ = 0; // applied by the delegate; lowered by a forwarding node that has an older one
     std::uint64_t enginesVersion_ = 0;
     std::uint32_t liveNodes_ = 0;
-    std::vector<CellNode> nodes_; // that the delegate has heard just now
+    std::vector<CellNode> nodes_; // only nodes whose reports the delegate has received recently
 };
 
-// From a delegate: its own cell to other cells' delegates, or what those sent to the nodes of its cell.
+// Sent by a delegate: the summary of its own cell to the delegates of other cells, or the summaries received from those to the nodes of
+// its own cell.
 struct CellDigest {
     std::vector<CellSummary> cells_;
-    bool isPassedOn_ = false; // by a delegate to its own cell
+    bool isPassedOn_ = false; // forwarded by a delegate to its own cell
 };
 
 using PeerDatagram = std::variant<NodeReport, GiveWay, CellDigest>;
 
 std::string encode(const WireKey& key, const PeerDatagram& datagram);
-// Errors: Unauthentic, Unreadable.
+// Returns PeerError::Unauthentic or PeerError::Unreadable if the bytes can't be accepted.
 Result<PeerDatagram> decodeDatagram(const WireKey& key, std::string_view bytes);
 
-// What a delegate passes on to its own cell, in as few digests as fit a frame each.
+// Packs the summaries that a delegate forwards to its own cell into digests. Each digest fits into a frame unless a single summary is
+// larger.
 std::vector<CellDigest> passedOn(const std::vector<CellSummary>& cells);
 
 } // namespace jj
--- a/libs/serving/src/ReportPace.cpp
+++ b/libs/serving/src/ReportPace.cpp
@@ -1,4 +1,4 @@
-// A step slower while too much is heard, a step faster while it is quiet.
+// Adjusts the interval between reports in steps: longer while too many reports arrive, shorter while few do.
 #include "ReportPace.h"
 
 #include <algorithm>
--- a/libs/serving/src/ReportPace.h
+++ b/libs/serving/src/ReportPace.h
@@ -1,9 +1,10 @@
-// How often a node reports to its cell what it runs.
+// Limits how often a node reports its load to its cell.
 //
-// Each change is reported at once while the cell is small. Failure met: every node hears every other one's reports, so their number grows with
-// the square of the fleet; at 180 nodes of a region and 2,350 requests a second each would hear 4,700 a second, 5% of a core for reports
-// alone. The guard: while more is heard than a node should spend on it, its own reports wait for each other and carry several changes. All
-// nodes hear about the same, so all slow down alike, and speed up again when it gets quiet.
+// In a small cell each change is reported immediately. Since every node receives the reports of every other one, the total number of
+// received reports grows with the square of the number of nodes. With 180 nodes in a region and 2,350 requests a second, each node would
+// receive 4,700 reports a second and spend 5% of a core on them. Therefore a node that receives more than mostHeard_ reports
+// a second delays its own reports, so that each one carries several changes. All nodes receive about the same number of reports, so all
+// slow down alike, and speed up again when the load falls.
 #pragma once
 
 #include "base/Time.h"
@@ -13,13 +14,14 @@
 namespace jj {
 
 struct ReportPaceSettings {
-    // One costs some 11 us on the users' hosts, so a thousand a second are 1.1% of a core; 1.4% are to be spent on control.
-    double mostHeard_ = 1000; // a second
-    // Below this part of it reports come sooner again.
+    // Processing a report takes about 11 us on the users' hosts, so 1,000 a second take 1.1% of a core. The budget for all control traffic
+    // is 1.4%.
+    double mostHeard_ = 1000; // reports per second
+    // Below this fraction of mostHeard_ the interval between own reports is shortened again.
     double easyPart_ = 0.8;
     Duration judgedEvery_ = 200ms;
     Duration step_ = 5ms;
-    // Picks by older reports than this collide about as often as picks by none.
+    // With reports older than this, nodes pick the same engine about as often as without any reports.
     Duration longest_ = 250ms;
 };
 
@@ -33,16 +35,16 @@
     void heard() { ++heard_; }
     void sent(TimePoint now) { reportedAt_ = now; }
     void tick(TimePoint now);
-    // When the next report may go.
+    // Returns the earliest time of the next report.
     TimePoint nextAt() const { return reportedAt_ + interval_; }
     Duration interval() const { return interval_; }
 
 private:
     ReportPaceSettings settings_;
-    std::uint32_t heard_ = 0; // since judgedAt_
+    std::uint32_t heard_ = 0; // number of reports received since judgedAt_
     TimePoint judgedAt_ {};
     TimePoint reportedAt_ {};
-    Duration interval_ {}; // between two reports of this node
+    Duration interval_ {}; // minimum time between two reports of this node
 };
 
 } // namespace jj
--- a/libs/serving/tests/CellsTest.cpp
+++ b/libs/serving/tests/CellsTest.cpp
@@ -1,4 +1,4 @@
-// How a region that grows is cut into cells, and who speaks for each.
+// Tests how regions of different sizes are split into cells, and which nodes are the delegates.
 #include "Cells.h"
 
 #include "base/Hash.h"
@@ -19,7 +19,7 @@
 std::uint64_t engine(std::uint64_t number) { return mixHash(2, number); }
 FailureDomainId domain(std::uint64_t number) { return FailureDomainId(static_cast<std::uint32_t>(100 + number)); }
 
-// Nodes of a region, spread over its domains in turn.
+// Returns live nodes of a region, assigned to its failure domains in turn.
 std::vector<CellMember> members(std::size_t count, std::uint64_t domains, RegionId region = north)
 {
     std::vector<CellMember> all;
@@ -50,7 +50,7 @@
     CHECK(cells.cellOf(south, domain(0), engine(1)).isNone());
 }
 
-TEST_CASE("cells: a large region is cut by its failure domains, and engines belong to the nodes beside them")
+TEST_CASE("cells: a large region is split by failure domain, and engines belong to the cell of their domain")
 {
     const auto nodes = members(147, 3);
     Cells cells;
@@ -60,8 +60,8 @@
         CHECK(cells.cellOf(one.node_) == cells.cellOf(north, one.domain_, engine(one.node_.value())));
 }
 
-// A cell without enough engines for its nodes would send all of its work to others.
-TEST_CASE("cells: domains that are too large are cut in halves, each with its part of the engines")
+// A cell with too few engines for its nodes would have to send its work to the engines of other cells.
+TEST_CASE("cells: failure domains that are too large are split into halves, each with a share of the engines")
 {
     const auto nodes = members(300, 3);
     Cells cells;
@@ -79,7 +79,7 @@
     }
 }
 
-TEST_CASE("cells: domains that are too small for a cell each are cut by a hash")
+TEST_CASE("cells: a region whose failure domains are too small for cells of their own is split by hash")
 {
     const auto nodes = members(180, 30);
     Cells cells;
@@ -89,9 +89,9 @@
     CHECK(std::ranges::all_of(found, [](const auto& entry) { return entry.second > 25 && entry.second < 65; }));
 }
 
-// Nodes count the others by what they have heard, and disagree while some come or go. A node that reports to a part of those that count on its
-// reports would leave the rest with old ones for good.
-TEST_CASE("cells: the cells of a finer cut are parts of those of a coarser one")
+// While nodes join or leave, the views of the membership differ, and so do the splits that nodes compute. If the cells of two splits
+// overlapped only in part, a node would report to some of the nodes that rely on its reports, and the others would keep outdated ones.
+TEST_CASE("cells: each cell of a finer split lies within one cell of a coarser split")
 {
     Cells coarse;
     Cells fine;
@@ -107,7 +107,7 @@
     CHECK(std::ranges::all_of(within, [](const auto& entry) { return entry.second.size() == 1; }));
 }
 
-TEST_CASE("cells: the cut doesn't follow single nodes that come and go")
+TEST_CASE("cells: the split doesn't change when a few nodes join or leave")
 {
     Cells cells;
     CHECK(cells.rebuild(members(60, 3)).layout_);
@@ -118,8 +118,8 @@
     CHECK_FALSE(cells.rebuild(members(50, 3)).layout_);
 }
 
-// A domain loses its power: nobody is left there, and its engines still belong to it.
-TEST_CASE("cells: nodes that are gone for a short while count for the cut, and speak for nobody")
+// A failure domain loses its power. None of its nodes is live, but its engines still belong to its cell.
+TEST_CASE("cells: nodes that failed recently count for the split but aren't delegates")
 {
     Cells cells;
     auto nodes = members(147, 3);
@@ -134,7 +134,7 @@
     CHECK(cells.cellOf(north, domain(0), engine(1)) == lost);
 }
 
-TEST_CASE("cells: two nodes speak for a cell, and one that leaves is replaced")
+TEST_CASE("cells: a cell has two delegates, and one that is leaving is replaced")
 {
     Cells cells;
     auto nodes = members(42, 3);
--- a/libs/serving/tests/ExchangeFleet.h
+++ b/libs/serving/tests/ExchangeFleet.h
@@ -1,4 +1,5 @@
-// A fleet of report exchanges and boards without sockets: datagrams are late, lost or cut, in virtual time.
+// Simulates a fleet in virtual time, without sockets. Each node has a ReportExchange and a CapacityBoard; datagrams are delayed or lost,
+// and nodes can be isolated.
 #pragma once
 
 #include "ReportExchange.h"
@@ -21,7 +22,7 @@
     std::size_t domainsOfRegion_ = 3;
     std::size_t engines_ = 160;
     double loss_ = 0.01;
-    double changesPerSecond_ = 0; // of what each node runs
+    double changesPerSecond_ = 0; // of the load of each node
 };
 
 class ExchangeFleet {
@@ -33,7 +34,7 @@
         std::unique_ptr<CapacityBoard> board_;
         std::unique_ptr<ReportExchange> exchange_;
         KnownVersions versions_;
-        std::uint64_t datagrams_ = 0; // that it received
+        std::uint64_t datagrams_ = 0; // number of received datagrams
         std::uint64_t bytes_ = 0;
         bool isCut_ = false; // receives and sends nothing
     };
@@ -49,12 +50,12 @@
             introduce(*node);
     }
 
-    // A node heard of versions at a peer. Without a listener it has them from then on.
+    // Called when a node receives the versions of a peer. If it isn't set, the node has these versions from then on.
     std::function<void(std::size_t place, KnownVersions)> onVersions_;
-    // Called for each node that isn't cut, each 20 ms.
+    // Called every 20 ms for each node that isn't isolated.
     std::function<void(std::size_t place)> onTick_;
 
-    // Runs what is given after `delay`.
+    // Runs `work` after `delay`.
     void after(Duration delay, std::function<void()> work) { later_.emplace(now_ + delay, std::move(work)); }
 
     void advance(Duration time)
@@ -84,7 +85,7 @@
 
     void stopChanges() { shape_.changesPerSecond_ = 0; }
 
-    // All others learn that the node is gone, or that it is back.
+    // Isolates or reconnects the node, and notifies all other nodes of its new state immediately.
     void setLive(std::size_t place, bool isLive)
     {
         Node& node = *nodes_[place];
@@ -96,7 +97,7 @@
         }
     }
 
-    // A new process at the address, which knows all others.
+    // Replaces the process at the address of the node by a new one, which knows all other nodes.
     void restart(std::size_t place)
     {
         Node& node = *nodes_[place];
@@ -118,7 +119,7 @@
     TimePoint now() const { return now_; }
     UpstreamId engine(std::size_t place) const { return UpstreamId(mixHash(99, place)); }
 
-    // What all nodes run on the engine.
+    // Returns the number of online requests that all nodes run on the engine.
     std::uint32_t questionsOn(UpstreamId engine) const
     {
         std::uint32_t sum = 0;
@@ -269,7 +270,7 @@
         }
     }
 
-    // Begins or ends a question at an engine of its own cell or another one.
+    // Starts or ends an online request on a random engine of any cell, with the configured rate.
     void change(Node& node)
     {
         constexpr double stepSeconds = 0.005;
--- a/libs/serving/tests/PeerLagTest.cpp
+++ b/libs/serving/tests/PeerLagTest.cpp
@@ -1,11 +1,11 @@
-// How soon and how often a node asks for what a peer has.
+// Tests when, and how often, a node requests an update from a peer.
 #include "PeerLag.h"
 
 #include <doctest/doctest.h>
 
 using namespace jj;
 
-TEST_CASE("a passive node asks at once, and again after a while")
+TEST_CASE("a passive node requests an update immediately, and again after the minimum interval")
 {
     const FollowerTimes times;
     const TimePoint start = TimePoint {} + 10s;
@@ -18,7 +18,7 @@
     CHECK(lag.version() == 6);
 }
 
-TEST_CASE("a node that follows the store waits for its own answer first")
+TEST_CASE("a node that follows the store waits for the store's answer before it requests an update")
 {
     const FollowerTimes times;
     const TimePoint start = TimePoint {} + 10s;
--- a/libs/serving/tests/ReportExchangeTest.cpp
+++ b/libs/serving/tests/ReportExchangeTest.cpp
@@ -1,4 +1,4 @@
-// What hundreds of nodes hear of each other, and what it costs them.
+// Tests how load reports spread between hundreds of nodes, and how many datagrams that takes.
 #include "ExchangeFleet.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Datagrams that a node receives a second, on the mean of all nodes.
+// Returns the number of datagrams that a node receives per second, as the mean of all nodes.
 double heardPerSecond(std::size_t nodes, std::size_t domains)
 {
     constexpr Duration measured = 2s;
@@ -29,7 +29,7 @@
     return static_cast<double>(after - before) / toSeconds(measured) / static_cast<double>(nodes);
 }
 
-// Every node counts on each engine what all nodes run there.
+// Checks that every node counts the same load on each engine as all nodes together run there.
 void checkAllAgree(ExchangeFleet& fleet, std::size_t engines)
 {
     for (std::size_t place = 0; place < engines; ++place) {
@@ -44,17 +44,18 @@
 
 } // namespace
 
-// 300 nodes in six domains, each of which changes six times a second: a report of each change to a cell of 50, and no node's report to the others.
-TEST_CASE("exchange: what a node hears grows with its cell and the number of cells, not with the fleet")
+// 300 nodes in six failure domains form cells of 50 nodes. The load of each node changes six times a second, and each change is reported
+// within the cell only.
+TEST_CASE("exchange: the datagrams that a node receives grow with its cell and the number of cells, not with the fleet")
 {
     const double of100 = heardPerSecond(100, 1);
     const double of300 = heardPerSecond(300, 3);
-    MESSAGE("datagrams a second and node: ", of100, " of 100 nodes, ", of300, " of 300");
+    MESSAGE("datagrams per second and node: ", of100, " in a fleet of 100 nodes, ", of300, " in a fleet of 300");
     CHECK(of100 > 250);
     CHECK(of300 < 1.15 * of100);
 }
 
-TEST_CASE("exchange: 300 nodes count alike what all of them run, a second after the last change")
+TEST_CASE("exchange: 300 nodes agree on the load of all engines 1.5 s after the last change")
 {
     FleetShape shape;
     shape.changesPerSecond_ = 4;
@@ -66,7 +67,7 @@
     checkAllAgree(fleet, shape.engines_);
 }
 
-TEST_CASE("exchange: a new version is known to all of 300 nodes within a second, though one datagram in a hundred is lost")
+TEST_CASE("exchange: a new version reaches all 300 nodes within a second although one datagram in a hundred is lost")
 {
     ExchangeFleet fleet(FleetShape {}, 5);
     fleet.advance(1s);
@@ -79,8 +80,9 @@
     CHECK(behind == 0);
 }
 
-// The delegate that sends most often is cut off, and for two seconds nobody knows: its cell would fall silent.
-TEST_CASE("exchange: a delegate that is cut off without anybody knowing leaves its cell to the other one")
+// The first delegate of a cell is partitioned, and membership needs two seconds to detect it. Without the second delegate the other cells
+// would receive no summaries in that time.
+TEST_CASE("exchange: the second delegate reports for its cell while the first one is partitioned but not yet declared dead")
 {
     FleetShape shape;
     shape.loss_ = 0;
@@ -105,8 +107,8 @@
     }
 }
 
-// Two thirds of all nodes die at once and come back: what they ran is forgotten, and all agree again.
-TEST_CASE("exchange: after most nodes died and came back all agree again")
+// Two thirds of all nodes fail at once and come back. The others drop the load of the failed nodes, and in the end all nodes agree again.
+TEST_CASE("exchange: all nodes agree again after most of them failed and came back")
 {
     FleetShape shape;
     shape.changesPerSecond_ = 4;
@@ -127,7 +129,7 @@
     checkAllAgree(fleet, shape.engines_);
 }
 
-TEST_CASE("exchange: nodes that run jobs are known in all cells, and one that fell silent isn't taken as heard")
+TEST_CASE("exchange: nodes that run jobs are known in all cells, and one that stops reporting doesn't count as recently seen")
 {
     ExchangeFleet fleet(FleetShape {}, 17);
     fleet.advance(1500ms);
@@ -143,7 +145,7 @@
         CHECK(fleet.now() - fleet.node(place).peers_->find(worker)->heardAt_ > 1200ms);
 }
 
-TEST_CASE("exchange: a digest that is cut short, or of another program, is refused")
+TEST_CASE("exchange: a truncated or modified digest is rejected")
 {
     const WireKey key = WireKey::fromHex(std::string(64, '0')).value();
     CellSummary cell;
@@ -162,7 +164,7 @@
     }
 }
 
-TEST_CASE("exchange: what a delegate passes on fits frames, and nothing is left out")
+TEST_CASE("exchange: forwarded digests fit into frames and contain every cell")
 {
     std::vector<CellSummary> cells;
     for (std::uint32_t number = 0; number < 20; ++number) {
--- a/libs/serving/tests/ReportPaceTest.cpp
+++ b/libs/serving/tests/ReportPaceTest.cpp
@@ -1,7 +1,8 @@
-// How many reports nodes hear when a region grows.
+// Tests how many reports each node receives when a region grows.
 //
-// The load: each entry takes requests at random moments; each request changes what the node runs twice. Today 42 nodes of a region change
-// 12 times a second each, which is what a day of 84 nodes showed; in two years 180 nodes change 26 times a second each.
+// Requests arrive at each entry at random, and each request changes the load of its node twice: when it starts and when it ends. In
+// the first test the load of each of 42 nodes changes 12 times a second, as observed on a day with 84 nodes. The second test assumes
+// the size in two years: 180 nodes in a region, each with 26 changes a second.
 #include "ReportPace.h"
 
 #include <doctest/doctest.h>
@@ -13,16 +14,16 @@
 namespace {
 
 struct Heard {
-    double perSecond_ = 0; // reports that one node hears
-    Duration meanDelay_ {}; // from a change to the report that carries it
+    double perSecond_ = 0; // reports that one node receives
+    Duration meanDelay_ {}; // from a change to the report that contains it
 };
 
-// The last 20 of 30 s, in steps of a millisecond.
+// Simulates 30 s in steps of a millisecond, and returns the results for the last 20 s.
 Heard play(std::size_t nodes, double changesPerSecond)
 {
     struct Node {
         ReportPace pace_;
-        std::vector<TimePoint> unreported_; // changes that wait for a report
+        std::vector<TimePoint> unreported_; // times of changes that haven't been reported yet
     };
     constexpr Duration step = 1ms;
     const TimePoint end = TimePoint() + 30s;
@@ -59,15 +60,16 @@
 
 } // namespace
 
-TEST_CASE("in a region of today's size each change is reported at once")
+TEST_CASE("in a region of 42 nodes each change is reported immediately")
 {
     const Heard heard = play(42, 12);
     CHECK(heard.perSecond_ > 480);
     CHECK(heard.meanDelay_ == Duration::zero());
 }
 
-// The region has grown fourfold and each node takes twice the requests. Without a pace each node hears 4,700 reports a second.
-TEST_CASE("in a region of 180 nodes a node hears a thousand reports a second, and changes wait for a tenth of a second")
+// The region has four times as many nodes, and each node twice as many requests. Without a limit each node would receive 4,700 reports a
+// second.
+TEST_CASE("in a region of 180 nodes a node receives about 1,000 reports a second, and changes are reported after about 100 ms")
 {
     const Heard heard = play(180, 26);
     CHECK(heard.perSecond_ < 1150);
