--- a/libs/serving/src/Cells.h
+++ b/libs/serving/src/Cells.h
@@ -7,9 +7,10 @@
 //     cells.delegates(cell);                                 // at most two live nodes of the cell
 //
 // A region of up to mostNodes nodes is one cell. A larger region is split by failure domain, so that the hosts and engines of a cell are
-// in the same domain. Failure domains that are too large are split further into halves by a hash of the node or engine id. If a failure
-// domain is too small for its share of cells, the region is split by that hash alone. This bounds the number of nodes that a node reports
-// to, whatever the size of the fleet.
+// in the same domain. Failure domains that are too large are split further into halves by a hash of the node or engine id. If the cells
+// of the smallest failure domain would then have fewer than fewestNodes nodes, the region is split by that hash alone. A split is kept
+// until it violates these bounds, so a region that has shrunk below mostNodes nodes may still consist of several cells. The bounds limit
+// the number of nodes that a node reports to, whatever the size of the fleet.
 //
 // Every node computes the cells from its own view of the membership. While the views of two nodes differ, the load of a node may be
 // counted twice or not at all. Such an error ends at the latest when the affected reports expire.
@@ -43,9 +44,10 @@
 
 class Cells {
 public:
+    // Maximum number of nodes in a cell. Cells that are divided by the hash comply with both bounds on average only.
     static constexpr std::size_t mostNodes = 56;
-    // Minimum number of nodes in each part of a split region. A split is only changed when a part violates a bound; the distance between
-    // fewestNodes and mostNodes keeps it stable while single nodes join or leave.
+    // Minimum number of nodes in a cell of a split region. Below it the region is split anew, so that the cell is merged with others. The
+    // distance between fewestNodes and mostNodes keeps the split stable while single nodes join or leave.
     static constexpr std::size_t fewestNodes = 16;
     // The second delegate covers the time in which the first one is stopped, paused or partitioned and this hasn't been detected yet.
     static constexpr std::size_t delegatesOfCell = 2;
@@ -73,6 +75,7 @@
         std::map<FailureDomainId, std::size_t> domains_; // number of known nodes by domain
         std::size_t nodes_ = 0;
 
+        // Return the number of known nodes in the largest and in the smallest failure domain.
         std::size_t largest() const;
         std::size_t smallest() const;
         std::vector<FailureDomainId> domainIds() const;
--- a/libs/serving/src/Fleet.cpp
+++ b/libs/serving/src/Fleet.cpp
@@ -15,9 +15,10 @@
 
     using Udp = boost::asio::ip::udp;
 
-    // The shortest period inside the membership core is 60 ms.
+    // Shorter than the shortest period of the membership core, which is 60 ms, so that none of its periods is missed.
     constexpr Duration membershipTick = 45ms;
-    // Membership changes that are logged one by one in each changeLinesPeriod. The rest is only counted.
+    // Maximum number of membership changes that are logged individually in each changeLinesPeriod. The rest is counted, and a single line
+    // reports the counts at the end of the period.
     constexpr std::uint32_t mostChangeLines = 20;
     constexpr Duration changeLinesPeriod = 1s;
     constexpr std::size_t callBytes = 16 * 1024 * 1024;
--- a/libs/serving/src/Fleet.h
+++ b/libs/serving/src/Fleet.h
@@ -67,7 +67,8 @@
     // Forwards a preemption request, which this node received as a delegate, to the node of its cell that runs the item.
     void passOnGiveWay(const GiveWay& ask, NodeId holder);
     using ReplyHandler = std::function<void(Result<PeerReply>)>;
-    // Calls a peer. Completes with PeerError::Unreachable if the peer is unknown or doesn't reply within `bound`.
+    // Calls a peer. Completes with PeerError::Unreachable if the peer is unknown, refuses the connection, sends nothing for `timeout` or
+    // replies with an HTTP error status, and with an error of decodeReply() if it can't decode the reply.
     void ask(NodeId node, const PeerCall& call, Duration bound, ReplyHandler done);
 
     // Distributes a mark of request content that crashes engines to all nodes.
@@ -87,8 +88,8 @@
     CellId ownCell() const { return exchange_->ownCell(); }
     // Returns the live nodes of this node's cell, including this node.
     const std::vector<NodeId>& mates() const { return exchange_->mates(); }
-    // Returns whether a node is live. An unknown node counts as live while this process has just started, since membership may not have
-    // discovered it yet.
+    // Returns whether a node is live. A node whose report arrived recently counts as live whatever the result of membership probes. An
+    // unknown node counts as live while this process has just started, since membership may not have discovered it yet.
     bool isLive(NodeId node) const;
     const std::vector<Peer>& peers() const { return peers_.rows(); }
     // Returns null if the node is unknown.
@@ -106,10 +107,10 @@
     NodeId preferredOwner(std::string_view job, NodeId former) const;
     // Returns the state of the other nodes that WatchChoice uses to decide whether this node follows the store.
     std::vector<WatchPeer> watchPeers() const;
-    // Chooses the hosts that spool a job on their disks, as many as `losses` requires and none of `without`. Returns an empty list if too
+    // Chooses the hosts that spool a job on their disks, as many as `losses` requires and none of `excluded`. Returns an empty list if too
     // few hosts are available.
     std::vector<NodeId> keepersOf(const TolerableLosses& losses, const std::vector<NodeId>& without);
-    // Returns whether a peer reported spooled jobs within the last minute.
+    // Returns whether the last report of a peer listed spooled jobs and isn't older than a minute.
     bool anyKeepsJobs() const;
     // Returns whether the reports of a peer that runs jobs have stopped recently. That peer may have lost the reports of this node as
     // well, and may take over its jobs.
--- a/libs/serving/src/FleetPeers.cpp
+++ b/libs/serving/src/FleetPeers.cpp
@@ -1,4 +1,4 @@
-// Evaluates the table of peers: which nodes are live, and which should own a job, follow the store or spool a job.
+// Queries of the peer table: which nodes are live, which should own or spool a job, and which may follow the store.
 #include "Fleet.h"
 
 #include "base/Hash.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // Time after the start by which membership has discovered all live nodes.
+    // Time after the start by which membership has discovered all live nodes. Until then an unknown node counts as live.
     constexpr Duration settleTime = 4s;
     // A report received within this time outweighs a failed membership probe.
     constexpr Duration freshReport = 1200ms;
--- a/libs/serving/src/PeerLag.h
+++ b/libs/serving/src/PeerLag.h
@@ -29,7 +29,8 @@
         return isPassive && mayAsk(now);
     }
 
-    // Called while this node hasn't applied version() yet. Returns true if it should request an update now.
+    // Called while this node hasn't applied version() yet. Returns true if it should request an update now, and records the time of that
+    // request.
     bool mustAskAgain(bool isPassive, TimePoint now)
     {
         const Duration patience = isPassive ? Duration::zero() : times_.behindBound_;
@@ -40,6 +41,7 @@
     std::uint64_t version() const { return version_; }
 
 private:
+    // Returns whether the minimum interval since the last request has passed; if so, records `now` as the time of the next one.
     bool mayAsk(TimePoint now)
     {
         if (now - askedAt_ < times_.askEvery_)
--- a/libs/serving/src/PeerMessages.cpp
+++ b/libs/serving/src/PeerMessages.cpp
@@ -24,7 +24,7 @@
             case PeerError::Unreadable:
                 return "a peer message can't be decoded";
             case PeerError::Unreachable:
-                return "no valid reply from the peer";
+                return "the peer can't be reached or rejected the call";
             }
             return "unknown error";
         }
--- a/libs/serving/src/PeerMessages.h
+++ b/libs/serving/src/PeerMessages.h
@@ -85,9 +85,11 @@
     EngineUpdate engines_;
     bool isBusy_ = false; // no update: the sender's budget for updates is used up; another peer can supply it
 };
+// Also acknowledges a FoundObject.
 struct AdoptReply {
     bool taken_ = false;
 };
+// Also acknowledges a ForgetAsk; the outcome has no meaning then.
 struct KeepReply {
     KeepOutcome outcome_ = KeepOutcome::Refused;
 };
@@ -96,7 +98,7 @@
 enum class PeerError : int {
     Unauthentic = 1, // the authentication code is wrong
     Unreadable, // decoding failed, for example because the peer runs another version of the program
-    Unreachable, // the peer is unknown or gave no valid reply
+    Unreachable, // the peer is unknown, didn't reply, or replied with an HTTP error status
 };
 std::error_code make_error_code(PeerError error);
 
--- a/libs/serving/src/ReportExchange.cpp
+++ b/libs/serving/src/ReportExchange.cpp
@@ -1,4 +1,4 @@
-// Sends reports and summaries periodically, as decided at each tick.
+// Decides at each tick, by comparing times, which reports and summaries are due.
 #include "ReportExchange.h"
 
 #include <algorithm>
@@ -9,7 +9,8 @@
 
     // An unchanged report is repeated after this time, to make up for lost datagrams.
     constexpr Duration refreshPeriod = 500ms;
-    // A delegate lists a node in its summary only if the last report of the node is newer than this.
+    // A report newer than this shows that its sender is alive and reachable. A delegate lists only nodes with such a report in its summary.
+    // It is also the upper limit for the age that a received summary states.
     constexpr Duration freshReport = 1200ms;
     // Time between two summaries of a changed cell. It grows with the fleet within the bounds below, so small fleets update faster.
     constexpr Duration summaryPeriodPerNode = 5ms;
@@ -61,7 +62,7 @@
     pending_ = false;
     reportedAt_ = now;
     pace_.sent(now);
-    // All nodes need to know immediately who follows the store, because they start or stop following it accordingly.
+    // All nodes need to know immediately which nodes follow the store, because they start or stop following it accordingly.
     const bool isWatchNew = report.watching_ != reportedWatching_;
     reportedWatching_ = report.watching_;
     if (!toAll && !isWatchNew)
--- a/libs/serving/src/ReportExchange.h
+++ b/libs/serving/src/ReportExchange.h
@@ -9,9 +9,9 @@
 // second, 380 of them from outside its cell; 5.5 MB a second crossed between regions, and a test day needed more processor time than the
 // machine had.
 //
-// It takes up to two seconds to detect that a delegate is paused or partitioned. Therefore both delegates send summaries, each to the
-// delegates of its own rank and the second one less often. A receiver uses a summary if it is newer than the last one that it has of the
-// cell.
+// It takes up to two seconds to detect that a delegate is paused or partitioned; with one delegate the other cells would receive no
+// summaries of its cell in that time. Therefore both delegates send summaries: the first one to the first delegate of each other cell, the
+// second one, less often, to the second delegate. A receiver uses a summary if it is newer than the last one that it has of the cell.
 //
 // This class uses no socket or clock: the caller passes in the time and received datagrams, and sends the datagrams it produces.
 #pragma once
@@ -36,6 +36,7 @@
     bool runsJobs_ = false;
 };
 
+// The versions up to which a node has applied all changes of the configuration and of the engines; 0: none.
 struct KnownVersions {
     std::uint64_t config_ = 0;
     std::uint64_t engines_ = 0;
@@ -83,7 +84,7 @@
     struct Known {
         CellSummary summary_;
         TimePoint at_ {};
-        bool isPassedOn_ = false; // forwarded to the nodes of this node's cell
+        bool isPassedOn_ = false; // already forwarded to the nodes of this node's cell, by this node or by the other delegate
     };
 
     void refreshCells(TimePoint now);
@@ -112,11 +113,11 @@
     bool reportedWatching_ = false;
     bool leaving_ = false;
 
-    bool isDirty_ = false; // the load of this cell has changed since the last summary
+    bool isDirty_ = false; // reports were published or received since the last summary, so the load of this cell may have changed
     TimePoint summedUpAt_ {};
     TimePoint passedOnAt_ {};
     std::uint64_t sentVersions_ = 0; // sum of both versions in the last summary; neither ever decreases
-    std::map<CellId, Known> known_; // other cells from which a summary was received
+    std::map<CellId, Known> known_; // the newest received summary of each other cell
 };
 
 } // namespace jj
--- a/libs/serving/src/ReportMessages.cpp
+++ b/libs/serving/src/ReportMessages.cpp
@@ -20,7 +20,8 @@
     constexpr std::size_t mostServices = 64;
     constexpr std::size_t mostNodes = 64;
     constexpr std::size_t mostCells = 64;
-    // Sizes on the wire, which follow from the fields serialized below. They serve to pack digests into frames.
+    // Upper bounds for the sizes on the wire, which follow from the fields serialized below. They serve to pack digests into frames.
+    // serviceBytes covers both ServiceWaiting and ItemsWaiting.
     constexpr std::size_t summaryBytes = 64;
     constexpr std::size_t useBytes = 14;
     constexpr std::size_t idBytes = 8;
--- a/libs/serving/src/ReportPace.h
+++ b/libs/serving/src/ReportPace.h
@@ -32,6 +32,7 @@
     {
     }
 
+    // Records that a report or a digest has arrived; both count as reports.
     void heard() { ++heard_; }
     void sent(TimePoint now) { reportedAt_ = now; }
     void tick(TimePoint now);
@@ -41,7 +42,7 @@
 
 private:
     ReportPaceSettings settings_;
-    std::uint32_t heard_ = 0; // number of reports received since judgedAt_
+    std::uint32_t heard_ = 0; // number of reports and digests received since judgedAt_
     TimePoint judgedAt_ {};
     TimePoint reportedAt_ {};
     Duration interval_ {}; // minimum time between two reports of this node
--- a/libs/serving/tests/CellsTest.cpp
+++ b/libs/serving/tests/CellsTest.cpp
@@ -107,6 +107,8 @@
     CHECK(std::ranges::all_of(within, [](const auto& entry) { return entry.second.size() == 1; }));
 }
 
+// A split region stays split while each cell has at least Cells::minNodes nodes, and a whole region stays whole up to Cells::maxNodes.
+// So the number of cells of a region of about 50 nodes depends on how many nodes it had before.
 TEST_CASE("cells: the split doesn't change when a few nodes join or leave")
 {
     Cells cells;
--- a/libs/serving/tests/ExchangeFleet.h
+++ b/libs/serving/tests/ExchangeFleet.h
@@ -50,7 +50,8 @@
             introduce(*node);
     }
 
-    // Called when a node receives the versions of a peer. If it isn't set, the node has these versions from then on.
+    // Called when a node receives a report or summary that states the versions of a peer. If it isn't set, the node counts as having
+    // applied all changes up to these versions.
     std::function<void(std::size_t place, KnownVersions)> onVersions_;
     // Called every 20 ms for each node that isn't isolated.
     std::function<void(std::size_t place)> onTick_;
@@ -97,7 +98,7 @@
         }
     }
 
-    // Replaces the process at the address of the node by a new one, which knows all other nodes.
+    // Replaces the process at the address of the node by a new one, which knows all other nodes that aren't isolated.
     void restart(std::size_t place)
     {
         Node& node = *nodes_[place];
--- a/libs/serving/tests/ReportExchangeTest.cpp
+++ b/libs/serving/tests/ReportExchangeTest.cpp
@@ -44,8 +44,8 @@
 
 } // namespace
 
-// 300 nodes in six failure domains form cells of 50 nodes. The load of each node changes six times a second, and each change is reported
-// within the cell only.
+// The cells of both fleets have 50 nodes: 100 nodes in two regions, and 300 nodes in six failure domains. The load of each node changes six
+// times a second, and each change is reported within the cell only.
 TEST_CASE("exchange: the datagrams that a node receives grow with its cell and the number of cells, not with the fleet")
 {
     const double of100 = heardPerSecond(100, 1);
@@ -81,7 +81,7 @@
 }
 
 // The first delegate of a cell is partitioned, and membership needs two seconds to detect it. Without the second delegate the other cells
-// would receive no summaries in that time.
+// would receive no summaries in that time. The load changes on a node of the cell that isn't a delegate.
 TEST_CASE("exchange: the second delegate reports for its cell while the first one is partitioned but not yet declared dead")
 {
     FleetShape shape;
--- a/libs/serving/tests/ReportPaceTest.cpp
+++ b/libs/serving/tests/ReportPaceTest.cpp
@@ -1,8 +1,8 @@
 // Tests how many reports each node receives when a region grows.
 //
 // Requests arrive at each entry at random, and each request changes the load of its node twice: when it starts and when it ends. In
-// the first test the load of each of 42 nodes changes 12 times a second, as observed on a day with 84 nodes. The second test assumes
-// the size in two years: 180 nodes in a region, each with 26 changes a second.
+// the first test the load of each of the 42 nodes of a region changes 12 times a second, as observed on a day in a fleet of 84 nodes. The
+// second test assumes the size in two years: 180 nodes in a region, each with 26 changes a second.
 #include "ReportPace.h"
 
 #include <doctest/doctest.h>
