--- a/libs/serving/include/serving/ServingNode.h
+++ b/libs/serving/include/serving/ServingNode.h
@@ -1,11 +1,12 @@
-// One serving node: everything that a platform's daemon runs.
+// A serving node: everything that the platform's daemon process runs.
 //
 //     auto node = ServingNode::create(settings, translation);
 //     if (!node) ...
-//     node.value()->run();      // until SIGTERM has ended it
+//     node.value()->run();      // returns after SIGTERM has stopped the node
 //
-// SIGTERM takes the node out without cutting off a request: it is not ready at once, gives its jobs to other nodes, answers what it
-// has, and then run() returns. SIGHUP reads the settings again, where `reload` gives them.
+// On SIGTERM the node drains within its grace period without interrupting requests: it hands its jobs over to other nodes,
+// answers the open requests, and then run() returns. The readiness check fails as soon as the signal arrives. On SIGHUP the node
+// reloads its settings by calling `reload`.
 #pragma once
 
 #include "base/Result.h"
@@ -18,7 +19,7 @@
 namespace jj {
 
 enum class ServingError : int {
-    KeyUnreadable = 1, // the key file can't be read or isn't 64 hex digits
+    KeyUnreadable = 1, // the key file is unreadable or does not hold 64 hex digits
     PeersListenFailed,
     CallersListenFailed,
     ReadyListenFailed,
--- a/libs/serving/src/Context.cpp
+++ b/libs/serving/src/Context.cpp
@@ -1,4 +1,4 @@
-// Small helpers of all parts.
+// Engine failure handling and HTTP helpers shared by the components of a serving node.
 #include "Context.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace {
 
-    // A living engine answers in a millisecond; one in another region in some thirty.
+    // A live engine answers within 1 ms, or within about 30 ms from another region.
     constexpr Duration probeBound = 250ms;
 
     bool isConnectionHeader(std::string_view name)
@@ -19,7 +19,7 @@
         return std::any_of(std::begin(names), std::end(names), [name](std::string_view one) { return boost::beast::iequals(name, one); });
     }
 
-    // Names that a Connection header adds to the list.
+    // Returns whether the Connection header lists `name` as another hop-by-hop header.
     bool isNamed(std::string_view connection, std::string_view name)
     {
         while (!connection.empty()) {
--- a/libs/serving/src/Context.h
+++ b/libs/serving/src/Context.h
@@ -1,4 +1,4 @@
-// What the parts of a serving node share. All of it lives on one thread.
+// State and helper functions shared by the components of a serving node. Everything here is used on a single thread.
 #pragma once
 
 #include "CrashSuspects.h"
@@ -18,24 +18,24 @@
 
 namespace jj {
 
-// What a node counts; shown on its metrics address.
+// Counters and distributions of a node, served on its metrics address.
 struct ServingMetrics {
     explicit ServingMetrics(Metrics& metrics);
 
     Metrics& metrics_;
-    CounterHandle answered_; // requests whose answer was passed on whole
-    CounterHandle refused_; // answered "not run"
-    CounterHandle failed_; // answered with a failure after they may have run
-    CounterHandle brokenOff_; // cut after the answer had begun
-    CounterHandle left_; // whose caller went away
-    CounterHandle resent_; // sent to another engine
-    CounterHandle displaced_; // questions that took a batch item's slot
-    CounterHandle queued_; // questions that waited in an engine's queue
+    CounterHandle answered_; // requests whose complete answer was forwarded
+    CounterHandle refused_; // requests refused without being run
+    CounterHandle failed_; // requests answered with a failure that may have run
+    CounterHandle brokenOff_; // answers aborted after they had started
+    CounterHandle left_; // requests whose caller disconnected
+    CounterHandle resent_; // requests sent to another engine
+    CounterHandle displaced_; // online requests that took a batch item's slot
+    CounterHandle queued_; // online requests that waited in an engine's queue
     CounterHandle itemRuns_;
     CounterHandle itemsGivenWay_;
-    CounterHandle jobsKept_; // acknowledged on copies on disks
-    DistributionHandle firstEvent_; // ms from a request's arrival to its answer's first bytes
-    DistributionHandle accept_; // ms from a submission's arrival to its acknowledgement
+    CounterHandle jobsKept_; // jobs acknowledged once spooled on disks, before the store accepted them
+    DistributionHandle firstEvent_; // ms from a request's arrival to the first bytes of its answer
+    DistributionHandle accept_; // ms from a job submission's arrival to its acknowledgement
 };
 
 class SlotQueue;
@@ -48,25 +48,26 @@
     ServingMetrics& metrics_;
     CapacityBoard& board_;
     http::Client& engines_; // connections to engines
-    Fleet* fleet_ = nullptr; // set before anything runs
-    SlotQueue* queue_ = nullptr; // as fleet_
-    std::shared_ptr<const RouteTable> table_ {}; // null until the first configuration
+    Fleet* fleet_ = nullptr; // set before the event loop runs
+    SlotQueue* queue_ = nullptr; // set before the event loop runs
+    std::shared_ptr<const RouteTable> table_ {}; // null until the first configuration is applied
     CrashSuspects suspects_ {};
 
     TimePoint now() const { return SystemClock().now(); }
-    // Asks an engine that is left alone on a fresh connection whether it lives; only then a request tries it.
+    // Checks over a new connection whether an engine in backoff is alive. Requests are sent to the engine again only if it is.
     void probe(UpstreamId engine);
+    // Records a failure of the engine. Reports it to the other nodes if the engine enters backoff.
     void failed(UpstreamId engine, EngineFault fault, std::error_code error);
-    // The engine refuses connections: what it ran when it went down is suspect.
+    // Handles an engine that refuses connections: the requests that it ran when it went down may have crashed it.
     void engineDown(UpstreamId engine);
-    // Takes the load that an engine tells in its answer.
+    // Records the load that an engine states in the headers of its answer.
     void observe(UpstreamId engine, const http::Headers& headers);
 };
 
-// A refusal with its type, in the product's form. `retryAfter` zero leaves the header out.
+// Returns an error response that carries `code` and the run state. The retry header is omitted if `retryAfter` is zero.
 http::Response refusal(const Translation& translation, int status, std::string_view code, std::string_view message, RunState run, Duration retryAfter);
 
-// Headers that pass through: all but those of one connection.
+// Returns the end-to-end headers, which a proxy forwards: all except the hop-by-hop ones.
 http::Headers passedHeaders(const http::Headers& headers);
 
 } // namespace jj
--- a/libs/serving/src/DecisionLog.cpp
+++ b/libs/serving/src/DecisionLog.cpp
@@ -1,4 +1,4 @@
-// Text is put together by hand: a line costs a microsecond, and a request has some.
+// Lines are formatted by hand, without a JSON library, because each request logs several: a line takes about 1 µs.
 #include "DecisionLog.h"
 
 #include <algorithm>
--- a/libs/serving/src/DecisionLog.h
+++ b/libs/serving/src/DecisionLog.h
@@ -1,10 +1,12 @@
-// One JSON line a decision, on standard output: what was decided, about which request, from which inputs, with what outcome.
+// Log of the node's decisions, normally on standard output. Each line is a JSON object with the request, the inputs and the
+// outcome.
 //
 //     log.line("refused").with("request", id).with("reason", "noSlot").with("waitMs", 210);
 //
-// Lines are collected and written at most each flushPeriod or when half a buffer is full. Failure met: a log that blocks on a full
-// pipe stops the node; one without a bound eats its share of the processor in a burst. The guard: a budget of lines a second and a
-// buffer of fixed size; what doesn't fit is counted, and the next line that fits says how many are missing.
+// Lines are buffered and written once per flushPeriod, or earlier when the buffer is half full. The number of lines per second
+// and the size of the buffer are limited, and writes do not block: otherwise a full pipe would stall the node, and a burst of
+// requests would spend CPU time on logging. Lines over the limits are dropped and counted, and the next line that is written
+// reports how many were dropped.
 #pragma once
 
 #include "base/Time.h"
@@ -19,7 +21,7 @@
 
 class DecisionLog {
 public:
-    // A line under way; it is entered when this goes.
+    // Builds one line, which the destructor adds to the log.
     class Line {
     public:
         Line(DecisionLog* log, std::string_view event);
@@ -38,19 +40,19 @@
             return raw(key, std::to_string(value));
         }
         Line& with(std::string_view key, double value);
-        // Whole milliseconds.
+        // Writes whole milliseconds.
         Line& with(std::string_view key, Duration value) { return raw(key, std::to_string(value / 1ms)); }
 
     private:
         Line& raw(std::string_view key, std::string_view value);
 
-        DecisionLog* log_; // null: over the budget
+        DecisionLog* log_; // null: the line is dropped
     };
 
     DecisionLog(const std::string& host, std::uint32_t linesPerSecond, int descriptor);
 
     Line line(std::string_view event);
-    // Writes what has been collected, as far as the descriptor takes it.
+    // Writes as much of the buffer as the descriptor accepts without blocking.
     void flush();
     void flushIfDue(TimePoint now);
     std::uint64_t dropped() const { return droppedTotal_; }
@@ -60,13 +62,13 @@
     bool mayWrite();
     void begin(std::string_view event);
 
-    std::string prefix_; // the host's part of each line
+    std::string prefix_; // host field and event key, the same in every line
     double linesPerSecond_;
     int descriptor_;
     double budget_;
     TimePoint filledAt_ {};
     TimePoint flushedAt_ {};
-    std::uint64_t dropped_ = 0; // since the last line that was entered
+    std::uint64_t dropped_ = 0; // since the last line that was written
     std::uint64_t droppedTotal_ = 0;
     std::string buffer_;
 };
--- a/libs/serving/src/EventScanner.cpp
+++ b/libs/serving/src/EventScanner.cpp
@@ -1,4 +1,4 @@
-// Fields are read line by line, as the HTML standard has it; lines end in LF or CRLF.
+// Parses fields line by line as the HTML standard defines them. Lines end in LF or CRLF.
 #include "EventScanner.h"
 
 #include <charconv>
@@ -39,7 +39,7 @@
         return event;
     }
 
-    // Where the first event ends, or npos.
+    // Returns the end of the first event, or npos if no event is complete.
     std::size_t endOfEvent(std::string_view bytes)
     {
         const std::size_t plain = bytes.find("\n\n");
@@ -53,7 +53,7 @@
 
 void EventScanner::feed(std::string_view bytes, const std::function<void(const StreamEvent&)>& onEvent)
 {
-    // Mostly events come whole, and nothing is copied.
+    // Bytes are copied only if an event is split across calls, which is rare.
     std::string joined;
     if (!partial_.empty()) {
         joined = std::move(partial_);
--- a/libs/serving/src/EventScanner.h
+++ b/libs/serving/src/EventScanner.h
@@ -1,7 +1,7 @@
-// Splits a stream of server-sent events into whole events, and reads their ids.
+// Splits a stream of server-sent events into complete events and parses their ids.
 //
-// Failure met: an engine stops in the middle of an event. Passed on as they come, its bytes would stand in front of the first event
-// of the engine at which the stream goes on. So only whole events leave the scanner.
+// An engine may stop in the middle of an event. If its bytes were forwarded as they arrive, the caller would receive this fragment
+// followed by the first event of the engine that resumes the stream. The scanner therefore yields only complete events.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +13,16 @@
 namespace jj {
 
 struct StreamEvent {
-    std::string_view raw_; // with the empty line that ends it
+    std::string_view raw_; // includes the empty line that ends the event
     std::optional<std::uint64_t> id_;
-    std::string_view data_; // of the data field; several are not joined, the last one counts
+    std::string_view data_; // of the last data field; several fields are not joined
 };
 
 class EventScanner {
 public:
-    // Calls back for each event that is whole by now; its views live for the call.
+    // Calls back for each event that is now complete. The views in the event are valid during the call only.
     void feed(std::string_view bytes, const std::function<void(const StreamEvent&)>& onEvent);
-    // What came after the last whole event.
+    // Returns the bytes after the last complete event.
     const std::string& rest() const { return partial_; }
     void reset() { partial_.clear(); }
 
--- a/libs/serving/src/HopTimes.h
+++ b/libs/serving/src/HopTimes.h
@@ -1,7 +1,9 @@
-// How long a call about a job may take at the node that it is sent to.
+// Time limits of a job call that one node forwards to another.
 //
-// Failure met: a read that was sent on to the job's owner still asked it to hold the answer for the caller's whole wait, and gave up sooner. Each
-// read that brought nothing new failed, and went to the store: after a change of owner that was two calls for each second of each job.
+// A caller may ask the job's owner to hold a read until there is a new result. If a forwarded read asked for the caller's full
+// wait, the forwarding node would time out first, so each read without a new result would fail and go to the store instead. After
+// a change of owner this caused two store calls per second and job. The owner is therefore asked to hold the read only for the
+// rest of the caller's wait.
 #pragma once
 
 #include "base/Time.h"
@@ -11,14 +13,14 @@
 namespace jj {
 
 struct HopTimes {
-    Duration wait_ {}; // that the node may hold the answer
-    Duration bound_ {}; // until its answer has to be there
+    Duration wait_ {}; // how long the receiver may hold the answer
+    Duration bound_ {}; // how long the sender waits for the answer
 };
 
-// `asked`: that the caller is ready to wait for a result. `elapsed`: since its call came.
+// `asked`: how long the caller is willing to wait for a result. `elapsed`: time since the caller's request arrived.
 inline HopTimes hopTimes(Duration asked, Duration elapsed)
 {
-    // The way there and back, and a look at the store.
+    // Covers the network round trip and a store lookup by the receiver.
     constexpr Duration margin = 600ms;
     const Duration wait = std::max(asked - elapsed, Duration::zero());
     return { wait, wait + margin };
--- a/libs/serving/src/ItemRunner.cpp
+++ b/libs/serving/src/ItemRunner.cpp
@@ -1,4 +1,4 @@
-// Runs are kept by their id; whatever comes for a run that is gone is dropped.
+// Runs are looked up by id. Events of a run that is no longer current are ignored.
 #include "ItemRunner.h"
 
 #include <algorithm>
@@ -49,7 +49,7 @@
             continue;
         auto item = scheduler_.startNext(service, now);
         if (!item)
-            return true; // it was ended on the spot
+            return true; // the scheduler finished the item without a run
         auto run = std::make_shared<Run>();
         run->item_ = std::move(*item);
         run->service_ = service;
@@ -62,7 +62,7 @@
     return false;
 }
 
-// Other nodes leave free slots to the items that are due first, wherever those wait.
+// Reports the items that wait on this node: nodes leave free slots to the items that are due first, whichever node those wait on.
 void ItemRunner::reportWaiting(TimePoint now)
 {
     std::map<std::string, JobScheduler::Waiting> waiting = scheduler_.waiting(now);
@@ -79,8 +79,9 @@
     }
 }
 
-// Of the items that run here the one that is due last leaves its slot when one that waits elsewhere needs it far more. One a turn: by the
-// next one it has been heard who took the slot.
+// Preempts the item running here that is due last if items that are due much earlier wait on other nodes and there are too few
+// free slots for them. Preempts at most one item per call: by the next call, this node has received the report of which node took
+// the slot.
 void ItemRunner::cedeOne(TimePoint now)
 {
     RunPtr last;
@@ -137,7 +138,7 @@
         if (outOfStep || !event.id_)
             return;
         std::optional<std::uint64_t>& held = run->item_.resumeAfter_;
-        // The first event of a fresh run may bear any number; all others follow the one before.
+        // The first event of a new run may have any id; the ids of all further events are consecutive.
         if (held && *event.id_ != *held + 1) {
             outOfStep = true;
             return;
@@ -161,7 +162,7 @@
             context_.board_.refusedAsFull(run->engine_, context_.now());
         return finish(run, RunEnd::GivenWay, "notExecuted");
     }
-    // An item may be what makes an engine fail, so its failure isn't held against the engine.
+    // The item itself may be the cause of an error status, so the failure is not attributed to the engine.
     context_.board_.succeeded(run->engine_, context_.now());
     switch (run->status_) {
     case statusOk: {
@@ -218,7 +219,8 @@
 
 bool ItemRunner::giveWay(UpstreamId engine, TimePoint now)
 {
-    // Those that are late lose nothing by waiting; of the others the one that is due last has the most time to go on elsewhere.
+    // Prefers items that are late, since they lose nothing by waiting. Of the others, the item that is due last has the most time
+    // to resume on another engine.
     RunPtr chosen;
     ItemUrgency chosenUrgency = ItemUrgency::Urgent;
     std::uint16_t urgent = 0;
--- a/libs/serving/src/ItemRunner.h
+++ b/libs/serving/src/ItemRunner.h
@@ -1,9 +1,10 @@
-// Runs the items of this node's jobs at engines, in the slots that questions leave, and gives those slots back at once.
+// Runs the items of this node's jobs on engine slots that online requests do not use, and frees a slot as soon as one needs it.
 //
-// Failure met: engines admit in order of arrival, so an item that waits at an engine stands in front of the next question, and one that
-// runs holds a slot for seconds. It shows as late first events in a burst. The guard: an item is sent only to an engine with a free slot
-// beside the reserve, and is cancelled when a question needs its slot. It goes on behind its last event, which costs the engine
-// 10 to 30 ms of reading in place of the whole run.
+// Engines admit requests in order of arrival, so an item that is queued at an engine delays the online requests behind it, and a
+// running item occupies its slot for seconds. In a burst this would delay the first events of online requests. An item is
+// therefore sent only to an engine that has a free slot in addition to the reserve for online requests, and its run is cancelled
+// when an online request needs the slot. The item later resumes after its last event, which costs an engine 10 to 30 ms of prompt
+// processing instead of a whole run.
 #pragma once
 
 #include "Context.h"
@@ -17,13 +18,15 @@
 namespace jj {
 
 struct ItemRunnerSettings {
-    // A run without an event for so long is lost: several times the longest pause of a full engine.
+    // A run is considered lost after this long without an event, several times the longest pause on a fully loaded engine.
     Duration silence_ = 1500ms;
-    // Before any was measured: 219 events on a busy engine.
+    // Assumed duration of a run until one has been measured: that of 219 events on a busy engine.
     Duration assumedRun_ = 5s;
-    // Of the items that are in time only if they run now, so many on an engine don't give way: a share for batch, never the whole.
+    // Number of urgent items per engine that online requests can't preempt. Urgent items meet their deadline only if they run now.
+    // The limit gives batch work a share of each engine, but never all of it.
     std::uint16_t firmPerEngine_ = 1;
-    // Starts in one turn of the loop: nodes that see the same free slots at the same moment don't all take them.
+    // Maximum number of runs started by one call of pump(), so that nodes that see the same free slots at the same time don't all
+    // take them.
     std::size_t startsPerTurn_ = 4;
 };
 
@@ -31,13 +34,14 @@
 public:
     ItemRunner(Context& context, JobScheduler& scheduler, ItemRunnerSettings settings);
 
-    // Starts what fits.
+    // Starts the waiting items for which there are free slots.
     void pump(TimePoint now);
-    // A question needs a slot of the engine. False: this node runs no item there.
+    // Preempts one item on the engine for an online request, unless all items there are non-preemptible. Returns false if this node
+    // runs no item on the engine.
     bool giveWay(UpstreamId engine, TimePoint now);
-    // How many of the engine's slots its items keep against questions.
+    // Updates the number of non-preemptible items on each engine on the capacity board.
     void markFirm(TimePoint now);
-    // The scheduler has no use for the run any more.
+    // Cancels a run that the scheduler no longer needs, without reporting its end to the scheduler.
     void stop(RunId run);
     std::size_t running() const { return runs_.size(); }
 
@@ -54,7 +58,7 @@
     };
     using RunPtr = std::shared_ptr<Run>;
 
-    // What was reported last of the items that wait for a service.
+    // The last reported state of the items that wait for a service.
     struct ReportedItems {
         std::size_t count_ = 0;
         TimePoint firstDue_ = neverTime;
@@ -62,7 +66,7 @@
         friend bool operator==(const ReportedItems&, const ReportedItems&) = default;
     };
 
-    // Starts the first item that fits; false: none does.
+    // Starts the first item that has a free slot. Returns false if there is none.
     bool startOne(TimePoint now);
     void reportWaiting(TimePoint now);
     void cedeOne(TimePoint now);
--- a/libs/serving/src/JobFront.cpp
+++ b/libs/serving/src/JobFront.cpp
@@ -1,4 +1,5 @@
-// Reads, bodies and ends take the same way: to the owner, to the owner that it names, and at last to the store from here.
+// Reads, item bodies and cancellations take the same path: they are sent to the presumed owner, then to the owner named in its
+// reply, and finally answered by this node from the store.
 #include "JobFront.h"
 
 #include "HopTimes.h"
@@ -8,7 +9,7 @@
 namespace {
 
     constexpr Duration callBound = 1200ms;
-    // A host that keeps a job writes it to its disk, a millisecond, and may be a region away.
+    // Covers the disk write on the host that spools the job, about 1 ms, and a round trip to another region.
     constexpr Duration keepBound = 600ms;
     constexpr int mostHops = 3;
     constexpr int mostHandTries = 3;
@@ -48,7 +49,7 @@
     JobCall call_;
     TimePoint began_ {};
     int hops_ = 0;
-    NodeId next_; // to ask
+    NodeId next_; // node to query next
 };
 
 JobFront::JobFront(Context& context, JobScheduler& scheduler, StoreLink& store)
@@ -74,7 +75,7 @@
     return outlets;
 }
 
-// ---- submissions
+// ---- job submissions
 
 void JobFront::submit(const std::shared_ptr<http::Exchange>& exchange, const Route& route)
 {
@@ -127,16 +128,16 @@
         return exchange->respond({ 202, { { "Content-Type", "application/json" } }, "{}" });
     case AcceptOutcome::NotAccepted:
         context_.metrics_.metrics_.add(context_.metrics_.refused_);
-        return exchange->respond(refusal(context_.translation_, 503, "store.Unavailable", "the store can't take the job now; no item of it runs", RunState::NotRun, retryAfter));
+        return exchange->respond(refusal(context_.translation_, 503, "store.Unavailable", "the store is unavailable and the job was not accepted; none of its items run", RunState::NotRun, retryAfter));
     case AcceptOutcome::Unknown:
         context_.metrics_.metrics_.add(context_.metrics_.failed_);
-        return exchange->respond(refusal(context_.translation_, 500, "store.OutcomeUnknown", "the store gave no answer; the job may be accepted, send it again", RunState::OutcomeUnknown, {}));
+        return exchange->respond(refusal(context_.translation_, 500, "store.OutcomeUnknown", "the store did not answer; the job may have been accepted, submit it again", RunState::OutcomeUnknown, {}));
     case AcceptOutcome::Invalid:
         return exchange->respond(refusal(context_.translation_, 400, "job.Invalid", answer.failure_.message(), RunState::NotRun, {}));
     }
 }
 
-// A message that doesn't arrive costs time, not the job: its owner, or who should own it, finds it in the store.
+// A lost message only delays the job: its owner, or the node that should own it, finds the job when it scans the store.
 void JobFront::handToOwner(const JobName& job, const Acceptance& acceptance, int tries)
 {
     JobTransfer transfer { job, acceptance.head_, acceptance.headVersion_, acceptance.items_, 0, tries > 0, {} };
@@ -152,7 +153,7 @@
     });
 }
 
-// ---- calls
+// ---- calls about existing jobs
 
 NodeId JobFront::ownerOf(const JobName& job) const
 {
@@ -247,7 +248,7 @@
     if (isUnsure || outcome == ReadOutcome::Missing)
         context_.log_.line("jobCallFailed").with("job", jobOf(asked.call_)).with("call", nameOf(asked.call_)).with("outcome", isUnsure ? "unsure" : "missing").with("hops", asked.hops_).with("afterMs", context_.now() - asked.began_);
     if (isUnsure)
-        return exchange.respond(refusal(context_.translation_, 503, "job.Unsure", "neither the job's owner nor the store can be asked now", RunState::NotRun, retryAfter));
+        return exchange.respond(refusal(context_.translation_, 503, "job.Unsure", "neither the job's owner nor the store can be reached", RunState::NotRun, retryAfter));
     if (outcome == ReadOutcome::Missing)
         return exchange.respond(refusal(context_.translation_, 404, "job.NotFound", "no such job or item", RunState::NotRun, {}));
     if (const auto* read = std::get_if<ReadAnswer>(&reply))
--- a/libs/serving/src/JobFront.h
+++ b/libs/serving/src/JobFront.h
@@ -1,4 +1,4 @@
-// Callers' calls about jobs: taken in here, answered by the job's owner wherever it is.
+// Handles callers' requests about jobs. Any node accepts a request; the node that owns the job answers it.
 #pragma once
 
 #include "Context.h"
@@ -17,7 +17,7 @@
 
     void submit(const std::shared_ptr<http::Exchange>& exchange, const Route& route);
     void call(std::shared_ptr<http::Exchange> exchange, JobCall call);
-    // The store has the job; its owner begins. A message that doesn't arrive costs time, not the job.
+    // Sends a job that the store has accepted to its owner. A lost message only delays the job.
     void handToOwner(const JobName& job, const Acceptance& acceptance) { handToOwner(job, acceptance, 0); }
     void tick(TimePoint now) { intake_.tick(now); }
 
@@ -40,7 +40,7 @@
     Context& context_;
     JobScheduler& scheduler_;
     JobIntake intake_;
-    // Owners as last heard; a wrong one costs a hop.
+    // Last known owner of each job. An outdated entry costs one extra hop.
     std::map<JobName, NodeId> owners_;
 };
 
--- a/libs/serving/src/Keepers.cpp
+++ b/libs/serving/src/Keepers.cpp
@@ -1,4 +1,4 @@
-// Greedy: one host after the other, each time the one that adds most.
+// Greedy selection: adds the best remaining host until there are enough copies.
 #include "Keepers.h"
 
 #include "base/Hash.h"
--- a/libs/serving/src/Keepers.h
+++ b/libs/serving/src/Keepers.h
@@ -1,4 +1,4 @@
-// Which hosts keep a job on their disks while the store is away.
+// Chooses the hosts that spool a job on their disks while the store is unavailable.
 #pragma once
 
 #include "base/Id.h"
@@ -10,7 +10,7 @@
 
 namespace jj {
 
-// What may be lost at a time with nothing acknowledged lost: so many hosts with a disk, whole failure domains, whole regions.
+// Simultaneous losses that must not lose an acknowledged job: hosts with a disk, entire failure domains, and entire regions.
 struct TolerableLosses {
     std::uint32_t hosts_ = 1;
     std::uint32_t domains_ = 0;
@@ -23,11 +23,12 @@
     NodeId node_;
     FailureDomainId domain_;
     RegionId region_;
-    bool near_ = false; // in the region of the node that asks
+    bool near_ = false; // whether the host is in the region of the requesting node
 };
 
-// One more than may be lost, in as many domains and regions as that takes; near ones and new domains first, then by `seed`, so that
-// jobs spread. Empty when the candidates don't suffice: with fewer copies an acknowledgement would promise too much.
+// Returns losses.copies() hosts in more failure domains and more regions than may be lost. Prefers hosts that add a required
+// region, then hosts in a new failure domain, then nearby hosts. Ties are broken by a hash with `seed`, which spreads jobs over
+// the hosts. Returns an empty list if the candidates don't suffice, because a job with fewer copies must not be acknowledged.
 std::vector<NodeId> chooseKeepers(std::vector<KeeperCandidate> candidates, const TolerableLosses& losses, std::uint64_t seed);
 
 } // namespace jj
--- a/libs/serving/src/Relay.cpp
+++ b/libs/serving/src/Relay.cpp
@@ -1,4 +1,4 @@
-// Each request looks after itself.
+// Each RelayedRequest keeps itself alive until it has ended.
 #include "Relay.h"
 
 #include "RelayedRequest.h"
--- a/libs/serving/src/Relay.h
+++ b/libs/serving/src/Relay.h
@@ -1,7 +1,8 @@
-// Requests that pass through to an engine: picked, sent, streamed back, sent again where that is allowed, or refused.
+// Proxies requests to engines: picks an engine, sends the request, streams the answer back, and retries or refuses if necessary.
 //
-// A request lives from its arrival to exactly one end: the engine's answer, a refusal that says "not run", a failure that promises
-// nothing, or a cut connection once the answer has begun.
+// Each request ends in exactly one way: with the engine's answer, with a refusal stating that the request did not run, with a
+// failure after which it may have run, with an aborted connection if the answer had already started, or when the caller
+// disconnects.
 #pragma once
 
 #include "Context.h"
--- a/libs/serving/src/RelayAnswer.cpp
+++ b/libs/serving/src/RelayAnswer.cpp
@@ -1,4 +1,4 @@
-// What becomes of a request at its engine, and how its caller is answered.
+// RelayedRequest: the engine's answer, errors and timeouts, and the answer to the caller.
 #include "RelayedRequest.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-    // Callers wait for at most a third of what they have left when the answer reaches them.
+    // A refused caller is asked to wait for at most a third of its remaining time, less a margin for the network.
     constexpr int retryShare = 3;
     constexpr Duration retryMargin = 20ms;
 
@@ -50,7 +50,7 @@
 {
     if (phase_ != Phase::Reading)
         return;
-    // A run that doesn't go on behind the last event would leave a hole or say things twice.
+    // Event ids must be consecutive, otherwise the resumed stream would skip or repeat events.
     const bool isOutOfStep = started_ && lastEvent_ && event.id_ && *event.id_ != *lastEvent_ + 1;
     if (isOutOfStep) {
         line("streamOutOfStep").with("expected", *lastEvent_ + 1).with("got", *event.id_);
@@ -75,7 +75,8 @@
     call_ = nullptr;
     if (!rejected_)
         context_.suspects_.answered(content(), context_.now());
-    // "Bad request, not executed" is the caller's own fault, and the engine's answer says it best.
+    // A 4xx status other than 421 and 429 means that the request itself is at fault. That answer is forwarded to the caller even
+    // if the engine did not execute the request.
     const bool isCallersFault = head_.status_ >= 400 && head_.status_ < firstServerError && head_.status_ != 429 && head_.status_ != misdirected;
     if (rejected_ && !isCallersFault)
         return notExecuted();
@@ -98,7 +99,7 @@
 void RelayedRequest::passWhole()
 {
     if (started_)
-        return lost(http::Error::Truncated); // a failure in place of the rest of a stream
+        return lost(http::Error::Truncated); // an error response instead of the rest of a stream
     http::Response response { head_.status_, passedHeaders(head_.headers_), std::move(body_) };
     exchange_->respond(response);
     const bool isSuccess = head_.status_ < firstNonSuccess;
@@ -150,7 +151,7 @@
         leaveEngine();
         return dispatch();
     }
-    // The head said "not executed" and only the rest of that answer was lost.
+    // The response head stated that the request was not executed; only the rest of that answer was lost.
     if (rejected_)
         return notExecuted();
     context_.suspects_.lost(content(), engine_, context_.now());
@@ -158,7 +159,7 @@
     lost(failure.code_);
 }
 
-// The engine may have run it, and its answer is gone or can't be used.
+// Handles a lost or unusable answer to a request that the engine may have run: sends the request again if allowed, else fails it.
 void RelayedRequest::lost(std::error_code error)
 {
     const bool mayGoOn = route_.isRepeatable() && runs_ < std::max(route_.maxAttempts_, 1U) && left() > Duration::zero() && (isStream() || !started_);
@@ -180,14 +181,14 @@
     end();
 }
 
-// ---- ends
+// ---- refusals, failures and completion
 
 void RelayedRequest::refuse(std::string_view reason, Duration wait)
 {
     const Duration most = std::max<Duration>(left() / retryShare - retryMargin, Duration::zero());
     const Duration rest = context_.queue_->refused(service_, wait, context_.now());
     const Duration retry = std::clamp<Duration>(rest, std::min(leastRetryAfter, most), std::max(most, Duration(1ms)));
-    exchange_->respond(refusal(context_.translation_, 503, "overload.NoSlot", "no engine can take the request in time; it has not run", RunState::NotRun, retry));
+    exchange_->respond(refusal(context_.translation_, 503, "overload.NoSlot", "no engine can run the request in time; it was not run", RunState::NotRun, retry));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
     line("refused").with("reason", reason).with("status", 503).with("retryAfterMs", retry).with("afterMs", context_.now() - arrived_);
     end();
@@ -214,7 +215,7 @@
         return end();
     }
     if (ran)
-        return fail(504, "request.TimedOut", "no answer within the request's time; it may have run", RunState::OutcomeUnknown);
+        return fail(504, "request.TimedOut", "no answer within the request's timeout; the request may have run", RunState::OutcomeUnknown);
     refuse("timedOut", leastRetryAfter);
 }
 
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -1,4 +1,4 @@
-// From a request's arrival to the engine that gets it: picks, waiting in line, sending.
+// RelayedRequest: from a request's arrival until it is sent to an engine, including engine selection and queueing.
 #include "RelayedRequest.h"
 
 #include "base/Hash.h"
@@ -10,18 +10,20 @@
 
 namespace {
 
-    // Engines that a request is offered to in vain (refused, not connected) before it is refused: each costs a round trip, and by
-    // the fourth the counts that led there are wrong anyhow.
+    // Maximum number of engines that a request is sent to. Each one that rejects it or can't be connected to costs a round trip,
+    // and after four of them the load counts behind the choice are evidently wrong.
     constexpr std::size_t mostOffers = 4;
-    // A stream that may go on elsewhere does so when its engine was silent for so long: several times the longest step of a full
-    // engine, and well before its caller gives up.
+    // A resumable stream moves to another engine after its engine has been silent for this long. This is several times the
+    // longest step of a fully loaded engine, and well before the caller gives up.
     constexpr Duration resumableSilence = 1200ms;
-    // An engine's first event takes some 25 ms; one that hasn't come after twice that waits for a slot.
+    // An engine sends the first event within about 25 ms. If it has not arrived after twice that time, the request is waiting for
+    // a slot.
     constexpr Duration slotAskStep = 50ms;
     constexpr std::size_t mostSlotAsks = 4;
-    // A question stays in line for so many times its objective: a late answer serves its caller better than coming back later still.
+    // A request stays queued for up to this many times its target latency: a late answer is better for the caller than an even
+    // later retry.
     constexpr int keepTargets = 4;
-    // Of a caller that doesn't say how long it waits.
+    // Used if the caller does not state how long it waits.
     constexpr Duration defaultDeadline = 30s;
 
     Duration deadlineOf(const http::Request& request, const HeaderNames& names)
@@ -61,7 +63,7 @@
             self->onCallerLeft();
     });
     timer_.expires_at(deadline_);
-    // The timer holds the request: without it nobody would while no engine has it.
+    // The timer's handler keeps the request alive while neither an engine call nor the queue refers to it.
     timer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
         if (!error)
             self->onTimeout();
@@ -69,7 +71,8 @@
     dispatch();
 }
 
-// How long the first event may still take. One that is late already is worth less, and gets half of what is left.
+// Returns how long the first event may still take to meet the target latency. A request that is sent again after an engine was
+// lost may already be late. Its answer is then worth less, but it still gets at least half of the time left until its deadline.
 Duration RelayedRequest::pickBound() const
 {
     const Duration inTime = route_.targetLatency_ - (context_.now() - arrived_);
@@ -88,7 +91,8 @@
     const TimePoint now = context_.now();
     const Duration bound = pickBound();
     EnginePick pick = offers_ < mostOffers ? context_.board_.pickQuestion(service_, bound, route_.isRepeatable(), tried_, now) : EnginePick {};
-    // A free slot belongs to those who wait for one already, and a line that is too long for this request will have it in a moment.
+    // A free slot goes to the requests that are already queued. If the queue is too long for this request to be served in time,
+    // it must not take that slot either, because a queued request is about to.
     const bool isFree = pick.kind_ == PickKind::Free || pick.kind_ == PickKind::Displaces;
     if (isFree && context_.board_.waiting(service_) == 0)
         return send(pick);
@@ -102,19 +106,21 @@
     refuse(usage.slots_ == 0 ? "noEngine" : "noSlotInTime", pick.wait_);
 }
 
-// Its content has taken down engines. An attempt that was at one of them has run; any other hasn't.
+// Refuses a request whose content has crashed engines. If an engine may have started this attempt, it fails instead, because a
+// refusal states that the request did not run.
 void RelayedRequest::block()
 {
     if (started_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
-    exchange_->respond(refusal(context_.translation_, 503, "request.CrashesEngines", "engines went down with this content; it has not run", RunState::NotRun, CrashSuspects::blockTime));
+    exchange_->respond(refusal(context_.translation_, 503, "request.CrashesEngines", "engines crashed while running requests with this content; the request was not run", RunState::NotRun, CrashSuspects::blockTime));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
     line("refused").with("reason", "crashesEngines").with("status", 503).with("afterMs", context_.now() - arrived_);
     end();
 }
 
-// Callers leave a stream that gives nothing for seconds; well before, one that is late anyhow is refused with a time to come back. One that goes on after
-// a lost engine waits anew: its caller has the first part, and to cut it for want of a slot would waste that.
+// Returns the time at which a queued request is given up. Callers abandon a stream that sends nothing for seconds, so a late
+// request is refused well before that, with a retry delay. A request that resumes after a lost engine starts a new waiting time:
+// its caller already has the first part of the answer, which would be wasted if the request failed for lack of a slot.
 TimePoint RelayedRequest::keepUntil() const
 {
     const TimePoint from = started_ || mayHaveRun() ? context_.now() : arrived_;
@@ -206,9 +212,10 @@
     call_ = context_.engines_.send(entry->at_, outgoing, options, std::move(handlers));
 }
 
-// Failure met: the datagram that asks a batch item to give way is lost, or its holder has stopped that item for another question
-// already; the question waits at the engine for whichever run ends first. It shows as first events of 100 to 400 ms where two
-// questions displaced at one engine. Holders are asked in turn until the engine begins.
+// Asks a node that runs a batch item on the engine to preempt it. The datagram may be lost, or that node may already have
+// preempted the item for another online request. This request would then wait at the engine until some run ends, which delayed
+// first events by 100 to 400 ms when two online requests preempted items on one engine. The nodes are therefore asked in turn, up
+// to mostSlotAsks times, until the engine responds.
 void RelayedRequest::askForSlot()
 {
     const auto holders = context_.board_.batchHolders(engine_);
--- a/libs/serving/src/RelayedRequest.h
+++ b/libs/serving/src/RelayedRequest.h
@@ -1,4 +1,4 @@
-// One request on its way: from its arrival to exactly one end.
+// One proxied request, from its arrival until its answer, refusal or failure.
 #pragma once
 
 #include "Context.h"
@@ -17,7 +17,8 @@
 
 class RelayedRequest : public std::enable_shared_from_this<RelayedRequest> {
 public:
-    // A refused caller comes back after at least so long: a question's part of a slot. Sooner it would meet the same full engines.
+    // Minimum retry delay for a refused caller, a fraction of the time that an online request occupies a slot. A caller that
+    // retried sooner would find the same engines full.
     static constexpr Duration leastRetryAfter = 150ms;
 
     RelayedRequest(Context& context, std::shared_ptr<http::Exchange> exchange, std::shared_ptr<const RouteTable> table, const Route& route, std::shared_ptr<std::size_t> open)
@@ -42,15 +43,15 @@
 private:
     enum class Phase : std::uint8_t {
         Picking,
-        Waiting, // in line for a slot
-        Sent, // at an engine, no head yet
-        Reading, // its answer comes
+        Waiting, // queued for a slot
+        Sent, // sent to an engine, no response head received yet
+        Reading, // receiving the engine's answer
         Ended,
     };
 
     void dispatch();
     void block();
-    // No slot is free: lines up if one comes in time; false: it doesn't.
+    // Queues the request for a slot. Returns false if no slot is expected to become free in time.
     bool enqueue(Duration bound);
     void giveUpWaiting();
     void send(const EnginePick& pick);
@@ -75,7 +76,7 @@
     bool isStream() const { return route_.kind_ == RouteKind::Streaming; }
     bool mayHaveRun() const { return runs_ > 0; }
     Duration left() const { return deadline_ - context_.now(); }
-    // What a caller's further attempt has in common with this one.
+    // Returns a fingerprint that is the same for all of a caller's attempts at this request.
     Fingerprint content() const;
     bool crashesEngines() const;
     Duration pickBound() const;
@@ -87,30 +88,30 @@
     std::shared_ptr<const RouteTable> table_; // keeps route_ alive
     const Route& route_;
     boost::asio::steady_timer timer_;
-    boost::asio::steady_timer slotTimer_; // until the next holder of a batch item is asked
+    boost::asio::steady_timer slotTimer_; // until another node is asked to preempt a batch item
     std::size_t slotAsks_ = 0;
     std::shared_ptr<std::size_t> open_;
     const TimePoint arrived_;
     TimePoint deadline_ {};
     std::string service_;
     std::string id_;
-    bool hasReturned_ = false; // refused before, to all appearance: another refusal would be final
+    bool hasReturned_ = false; // the caller was probably refused before and would give up after another refusal
 
     Phase phase_ = Phase::Picking;
     std::vector<UpstreamId> tried_;
     std::size_t offers_ = 0;
-    std::uint32_t runs_ = 0; // engines that may have begun to work on it
-    QueueTicket ticket_; // while Waiting
-    UpstreamId engine_; // that it is at; none while Picking or Waiting
+    std::uint32_t runs_ = 0; // number of engines that may have started the request
+    QueueTicket ticket_; // set in phase Waiting
+    UpstreamId engine_; // that has the request; none in phases Picking and Waiting
     TimePoint sentAt_ {};
     std::shared_ptr<http::Call> call_;
 
-    http::ResponseHead head_; // of the answer that is being read
-    bool rejected_ = false; // the answer says that the engine didn't run it
-    bool started_ = false; // the caller has the head
-    std::string body_; // of an answer that is passed on whole
+    http::ResponseHead head_; // of the answer being received
+    bool rejected_ = false; // the answer states that the engine did not run the request
+    bool started_ = false; // the response head has been sent to the caller
+    std::string body_; // of an answer that is not streamed
     EventScanner scanner_;
-    std::string ready_; // events of the bytes at hand, for one write
+    std::string ready_; // complete events that are not yet written to the caller
     std::optional<std::uint64_t> lastEvent_;
 };
 
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -1,4 +1,4 @@
-// Puts a serving node together; ServingTurn.cpp turns it.
+// Builds the components of a serving node. Its periodic work and event handlers are in ServingTurn.cpp.
 #include "serving/ServingNode.h"
 
 #include "ServingParts.h"
@@ -24,33 +24,33 @@
         {
             switch (static_cast<ServingError>(value)) {
             case ServingError::KeyUnreadable:
-                return "the key file can't be read or isn't 64 hex digits";
+                return "the key file is unreadable or does not hold 64 hex digits";
             case ServingError::PeersListenFailed:
-                return "the address for peers ([node] peers) can't be listened on";
+                return "cannot listen on the address for peers ([node] peers)";
             case ServingError::CallersListenFailed:
-                return "the address for callers ([node] callers) can't be listened on";
+                return "cannot listen on the address for callers ([node] callers)";
             case ServingError::ReadyListenFailed:
-                return "the address for readiness ([node] ready) can't be listened on";
+                return "cannot listen on the address for readiness checks ([node] ready)";
             case ServingError::MetricsListenFailed:
-                return "the address for metrics ([node] metrics) can't be listened on";
+                return "cannot listen on the address for metrics ([node] metrics)";
             case ServingError::BadSeed:
-                return "a seed is no IP number";
+                return "a seed is not an IP address";
             }
             return "unknown error";
         }
     };
 
     constexpr Duration scanAfterLoss = 150ms;
-    // Membership has met everybody by then; before, a live owner may look dead.
+    // By then membership has discovered all nodes. Earlier, a live owner could be taken for dead.
     constexpr Duration firstScan = 600ms;
-    // A transfer that is lost costs time only: the new owner finds the job by itself.
+    // A lost transfer only delays the job, since the new owner also finds it by scanning the store.
     constexpr Duration transferBound = 600ms;
-    // Descriptors that aren't connections of callers: engines, peers, the store, files.
+    // Descriptors reserved for engines, peers, the store and files; the rest are for caller connections.
     constexpr std::size_t reservedDescriptors = 700;
     constexpr std::size_t leastConnections = 64;
     constexpr std::string_view noKey = "0000000000000000000000000000000000000000000000000000000000000000";
 
-    // One process in eight, another one after each start.
+    // Selects one process in eight. The seed differs at each start, so the selection does too.
     bool readsLongLists(std::uint64_t seed)
     {
         constexpr std::uint64_t part = 8;
@@ -79,7 +79,7 @@
     return { static_cast<int>(error), category };
 }
 
-// ---- building
+// ---- construction
 
 ServingNode::Parts::Parts(const ServingSettings& settings, const Translation& translation, Reload reload)
     : settings_(settings)
@@ -130,7 +130,7 @@
     link.store_ = settings_.store_;
     link.queue_.budget_.readsPerSecond_ = settings_.storeReadsPerSecond_;
     link.queue_.budget_.writesPerSecond_ = settings_.storeWritesPerSecond_;
-    // Outages here last seconds, and so do the jobs' deadlines.
+    // Store outages and job deadlines are both in the range of seconds, so calls resume faster after an outage than by default.
     link.queue_.budget_.probeEvery_ = 250ms;
     link.queue_.budget_.rampTime_ = 1500ms;
     link.queue_.budget_.rampStart_ = 0.3;
@@ -231,7 +231,7 @@
     };
     handlers.onGone_ = [this](NodeId node) {
         board_.forget(node);
-        // Others own no jobs.
+        // A node that runs no jobs owns none, so its loss requires no scan.
         const Peer* peer = fleet_->peer(node);
         if (peer && !peer->runsJobs_)
             return;
@@ -285,12 +285,12 @@
     retirement_ = std::make_unique<RetirementDuty>(*store_, translation_, log_, settings_.name_, begin, [this] { return hasHandedOn(); });
 }
 
-// A host whose disk fails serves on: jobs are kept elsewhere.
+// If the disk can't be used, the node works without a spool and jobs are spooled on other hosts.
 void ServingNode::Parts::buildSpool()
 {
     if (settings_.diskFolder_.empty())
         return;
-    // The rest is for files that are being replaced, and for what others put there.
+    // The spool may fill a quarter of the disk. The rest is for files that are being replaced and for other programs.
     constexpr std::size_t usedPart = 4;
     auto disk = FileDisk::open(settings_.diskFolder_ + "/jobs");
     if (!disk) {
@@ -317,7 +317,8 @@
 
 bool ServingNode::Parts::mayBeKept() const
 {
-    // Jobs that were kept over an outage are brought within some 3 s of its end; the start counts as one, since nobody was heard yet.
+    // Hosts upload the jobs they spooled during an outage within about 3 s of its end. The start of this node counts as the end
+    // of an outage, because no peer has reported its spooled jobs yet.
     constexpr Duration broughtWithin = 5s;
     const bool wasAway = store_->isAway() || context_.now() - store_->backSince() < broughtWithin;
     return wasAway || (spool_ && spool_->size() > 0) || fleet_->anyKeepsJobs();
--- a/libs/serving/src/ServingParts.h
+++ b/libs/serving/src/ServingParts.h
@@ -1,4 +1,4 @@
-// All parts of a serving node and how they meet. Private to this library.
+// The components of a serving node and the functions that connect them. Private to this library.
 #pragma once
 
 #include "ConfigFollower.h"
@@ -29,13 +29,13 @@
     std::optional<Failure> build();
     std::optional<Failure> openFleet();
     std::optional<Failure> openServers();
-    // Of callers; the rest of the descriptors is for engines, peers, the store and files.
+    // Returns the maximum number of caller connections. The other descriptors are for engines, peers, the store and files.
     std::size_t callerConnections() const;
     void buildStore();
     void buildScheduler();
     void buildSpool();
     bool takesCopies() const { return spool_ && !draining_ && !fleet_->isLeaving(); }
-    // A job may be on some host's disk and not in the store.
+    // Returns whether some job may be spooled on a host's disk without being in the store yet.
     bool mayBeKept() const;
     bool hasHandedOn() const { return scheduler_->hasLeft() && (!spool_ || spool_->size() == 0); }
     FleetHandlers fleetHandlers();
@@ -46,22 +46,22 @@
     void scanJobs(TimePoint now);
     void summarize(TimePoint now);
     void onCaller(std::shared_ptr<http::Exchange> exchange);
-    // A call at the metrics address: the metrics, the fleet as this node knows it, or who owns a job.
+    // Answers a request at the metrics address: the metrics, the fleet as this node knows it, or the owner of a job.
     void onOperator(const std::shared_ptr<http::Exchange>& exchange);
     void onPeerCall(PeerCall call, const std::function<void(PeerReply)>& reply);
     bool routeToPeer(const ObjectCall& call, Duration bound, StoreLink::Completion done);
     void requestUpdate();
-    // As the board counts it: with its cell.
+    // Returns the entry with its cell filled in, as the capacity board needs it.
     EngineEntry inCell(EngineEntry entry) const;
-    // A peer has these.
+    // Handles a report that a peer has these versions.
     void versionsHeard(KnownVersions versions);
     void onGiveWay(const GiveWay& ask);
     NodeId updateSource();
     void chooseWatching();
-    // This node watches and found it: for the hosts of its region that run jobs.
+    // Handles an object that this node found by watching the store, and notifies the hosts in its region that run jobs.
     void foundObject(const std::string& key);
     void notifyWorker(NodeId worker, const std::string& key, int tries);
-    // For this host.
+    // Handles an object that this node or a peer found, as far as it concerns this host.
     void meetObject(const std::string& key);
     void onConfig(const std::shared_ptr<const RouteTable>& table);
     void waitForSignal();
@@ -96,12 +96,12 @@
     std::unique_ptr<JobScheduler> scheduler_;
     std::unique_ptr<ItemRunner> runner_;
     std::unique_ptr<JobFront> jobs_;
-    std::unique_ptr<JobSpool<FileDisk>> spool_; // null: this host has no disk
+    std::unique_ptr<JobSpool<FileDisk>> spool_; // null if this host has no usable disk
     std::unique_ptr<SlotQueue> queue_;
     std::unique_ptr<Relay> relay_;
     std::unique_ptr<RetirementDuty> retirement_;
-    std::vector<std::unique_ptr<KindWatch>> kinds_; // that concern hosts that run jobs
-    std::map<std::string, TimePoint> foundAt_; // keys of their objects that were met lately
+    std::vector<std::unique_ptr<KindWatch>> kinds_; // kinds of objects that concern hosts that run jobs
+    std::map<std::string, TimePoint> foundAt_; // keys of recently handled objects of these kinds
     std::unique_ptr<http::Server> callers_;
     std::unique_ptr<http::Server> ready_;
     std::unique_ptr<http::Server> metricsServer_;
@@ -116,7 +116,7 @@
     bool updateRequested_ = false;
     TimePoint updateAgainAt_ = neverTime;
     UpdateBudget updateBudget_;
-    bool freshScan_ = true; // the next scan must not be stale
+    bool freshScan_ = true; // the next scan must not use stale data
     bool draining_ = false;
     bool listening_ = true;
     TimePoint drainBegan_ {};
--- a/libs/serving/src/ServingSettings.cpp
+++ b/libs/serving/src/ServingSettings.cpp
@@ -1,4 +1,4 @@
-// Reads and checks the INI file, section by section.
+// Parses and validates the INI file section by section.
 #include "serving/ServingSettings.h"
 
 #include "settings/SettingsError.h"
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -1,4 +1,4 @@
-// What a serving node does in each turn of its loop: periodic work, callers, peers, signals, and the drain.
+// The running node: periodic work, requests of callers, operators and peers, signals, and the drain.
 #include "FleetPage.h"
 #include "ServingParts.h"
 
@@ -12,28 +12,29 @@
 namespace {
 
     constexpr Duration tickPeriod = 20ms;
-    // The platform asks for readiness each second and takes a node out after two misses; new connections come until then.
+    // The platform checks readiness every second and removes a node after two failed checks. New connections arrive until then.
     constexpr Duration leavingNoticed = 2300ms;
-    // The process ends so long before it would be killed.
+    // The process exits this long before the end of the grace period, after which it would be killed.
     constexpr Duration graceMargin = 400ms;
-    // The last datagrams to peers need a moment.
+    // Time to send the last datagrams to peers before the process exits.
     constexpr Duration farewell = 100ms;
     constexpr Duration summaryPeriod = 10s;
-    // Who watches depends on what was heard within the last second.
+    // The watchers are chosen from the reports of the last second, so the choice is repeated more often than that.
     constexpr Duration watchChoicePeriod = 100ms;
-    // Every job node lists the jobs' heads so often, from stale data: an orphan whose owner is known to be dead is found at once.
+    // Every node that runs jobs lists the job heads at this interval, from possibly stale data. The loss of a node triggers an
+    // earlier scan, which finds the jobs it owned.
     constexpr Duration scanPeriod = 4s;
     constexpr Duration updateBound = 600ms;
-    // A peer that has too many askers, or is gone: another one is asked after about so long.
+    // Mean delay before the next update request if a peer has too many requesters or does not answer.
     constexpr Duration busyRetry = 100ms;
     constexpr int mostNotices = 3;
-    // The same object, found by the other watcher.
+    // An object found again within this time is a duplicate from the other watcher of the region.
     constexpr Duration foundAgainAfter = 500ms;
     constexpr Duration notReadyRetry = 300ms;
 
 } // namespace
 
-// ---- the wheel
+// ---- periodic work
 
 void ServingNode::Parts::turn()
 {
@@ -68,7 +69,7 @@
     runner_->pump(now);
     if (retirement_)
         retirement_->tick();
-    // A host that runs no jobs reads such objects only for others.
+    // A host that runs no jobs needs these objects only while it watches the store for other hosts.
     if (settings_.runsJobs_ || watching_) {
         for (const auto& kind : kinds_)
             kind->tick(now);
@@ -92,7 +93,7 @@
     std::erase_if(probing_, [&](UpstreamId engine) { return std::find(due.begin(), due.end(), engine) == due.end(); });
 }
 
-// Once in a while, what a person would ask first: how full the engines are, and what the store is called for.
+// Logs the node's load and its store calls by kind every summaryPeriod.
 void ServingNode::Parts::summarize(TimePoint now)
 {
     if (now - summarizedAt_ < summaryPeriod)
@@ -137,14 +138,14 @@
     const http::Request& request = exchange->request();
     const auto table = context_.table_;
     if (!table)
-        return exchange->respond(refusal(translation_, 503, "config.None", "this node knows no configuration yet", RunState::NotRun, notReadyRetry));
+        return exchange->respond(refusal(translation_, 503, "config.None", "this node has no configuration yet", RunState::NotRun, notReadyRetry));
     const std::string_view host = request.headers_.find("Host");
     if (auto call = translation_.readJobCall_(request); call && table->batchRouteOf(host))
         return jobs_->call(std::move(exchange), std::move(*call));
     const Route* route = table->select(host, request.target_);
     if (!route) {
         log_.line("noRoute").with("request", request.headers_.find(translation_.headers_.attemptId_)).with("host", host).with("path", request.path()).with("config", table->version());
-        return exchange->respond(refusal(translation_, 404, "route.None", "no route carries this host and path", RunState::NotRun, {}));
+        return exchange->respond(refusal(translation_, 404, "route.None", "no route matches this host and path", RunState::NotRun, {}));
     }
     if (route->kind_ == RouteKind::Batch)
         return jobs_->submit(exchange, *route);
@@ -164,12 +165,12 @@
         return exchange->respond({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, metrics_.prometheusText() });
     const JobName job(path.substr(jobsPath.size()));
     if (!isValidJobName(job))
-        return exchange->respond(refusal(translation_, 400, "job.BadName", "no job has such a name", RunState::NotRun, {}));
+        return exchange->respond(refusal(translation_, 400, "job.BadName", "invalid job name", RunState::NotRun, {}));
     scheduler_->locate(job, context_.now(), [this, exchange, job, isJson](const JobScheduler::Place& place) {
         if (place.outcome_ == ReadOutcome::Missing)
             return exchange->respond(refusal(translation_, 404, "job.NotFound", "no such job", RunState::NotRun, {}));
         if (place.outcome_ != ReadOutcome::Found)
-            return exchange->respond(refusal(translation_, 503, "job.Unsure", "the store can't be asked now", RunState::NotRun, notReadyRetry));
+            return exchange->respond(refusal(translation_, 503, "job.Unsure", "the store is unavailable", RunState::NotRun, notReadyRetry));
         const std::string owner = place.owner_ == fleet_->self() ? fleet_->address() : fleet_->addressOf(place.owner_);
         const json::object body { { "job", job }, { "owner", owner }, { "ownerLives", fleet_->isLive(place.owner_) }, { "state", toString(place.state_) }, { "items", place.total_ } };
         exchange->respond({ 200, { isJson }, json::serialize(body) });
@@ -214,7 +215,8 @@
     feed_->peerHas(versions.engines_, now);
 }
 
-// Other cells know of this one only what its delegates say, so they ask those.
+// Nodes of other cells know only the delegates of this cell and send their requests to those. A delegate that runs no item on the
+// engine forwards the request to a node of its cell that does.
 void ServingNode::Parts::onGiveWay(const GiveWay& ask)
 {
     if (runner_->giveWay(ask.engine_, context_.now()) || ask.isPassedOn_)
@@ -247,7 +249,7 @@
         updateRequested_ = false;
         const auto* update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
         if (!update || update->isBusy_) {
-            // Not all at the same moment.
+            // The delay is random, so that nodes don't all retry at the same time.
             updateAgainAt_ = context_.now() + std::chrono::milliseconds(std::uniform_int_distribution<int>(busyRetry / 2ms, busyRetry * 3 / 2ms)(random_));
             return;
         }
@@ -274,7 +276,7 @@
     reply(std::move(update));
 }
 
-// Watchers follow the store; the others hear from them.
+// Decides whether this node watches the store. The other nodes receive changes from the watchers.
 void ServingNode::Parts::chooseWatching()
 {
     const TimePoint now = context_.now();
@@ -293,8 +295,9 @@
         kind->setPassive(!follows);
 }
 
-// Failure met: each host that runs jobs followed these kinds by calls of its own, and each mark of an end answered the calls of all of them. It
-// shows as 650 of 10,900 calls of the store on a day with 14 marks and 45 such hosts. The guard: those that watch the engines do it for all.
+// If each host that runs jobs watched these kinds of objects itself, every cancellation mark would complete the held-open store
+// calls of all these hosts. On a day with 14 marks and 45 such hosts this caused 650 of 10,900 store calls. Therefore only the
+// nodes that watch the engines watch these objects, and they notify the other hosts.
 void ServingNode::Parts::foundObject(const std::string& key)
 {
     meetObject(key);
@@ -320,7 +323,7 @@
         return;
     const TimePoint now = context_.now();
     std::erase_if(foundAt_, [now](const auto& entry) { return now - entry.second > foundAgainAfter; });
-    // Two nodes of the region watch.
+    // Two nodes of the region watch the store, so each object is usually reported twice.
     if (!foundAt_.try_emplace(key, now).second)
         return;
     if (key.starts_with(translation_.keys_.retirements_))
@@ -363,7 +366,7 @@
     scheduler_->end(ask.job_, false, now, [reply](EndAnswer answer) { reply(answer); });
 }
 
-// ---- signals and the end
+// ---- signals and shutdown
 
 void ServingNode::Parts::waitForSignal()
 {
@@ -385,7 +388,8 @@
         log_.line("reloadRefused").with("faults", describe(fresh.error()));
         return;
     }
-    // Addresses and the place in the fleet belong to a process; another one takes them up at its start.
+    // Only these two settings can change while the process runs. Others, such as addresses and the region, apply from its next
+    // start.
     settings_.acceptBound_ = fresh.value().acceptBound_;
     settings_.grace_ = fresh.value().grace_;
     log_.line("reloaded").with("graceMs", settings_.grace_).with("acceptMs", settings_.acceptBound_);
--- a/libs/serving/src/SlotQueue.cpp
+++ b/libs/serving/src/SlotQueue.cpp
@@ -1,4 +1,4 @@
-// One walk over the services each time that something may have come free.
+// Goes over all services with queued requests whenever a slot may have become free.
 #include "SlotQueue.h"
 
 #include "base/Hash.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-    // A report is under way for a millisecond or two within a region; by the next node's turn it has heard who took the slot.
+    // A report takes 1 to 2 ms within a region, so by its turn the next node has received the report that the slot is taken.
     constexpr Duration turnStep = 3ms;
 
 } // namespace
@@ -46,7 +46,7 @@
     context_.fleet_->publishReport();
 }
 
-// Time alone makes waiters late.
+// Updates the counts of queued requests that can still be in time, which fall as time passes.
 void SlotQueue::countInTime(TimePoint now)
 {
     for (const std::string& service : queue_.services())
@@ -82,13 +82,13 @@
     if (!ticket)
         return false;
     Waiter& waiter = waiters_.at(*ticket);
-    // Any free slot will do by now; the bound only rules out engines' queues.
+    // Accepts any free slot. The bound only affects waiting in an engine's own queue, which is not accepted here.
     const EnginePick pick = context_.board_.pickQuestion(service, waiter.keepUntil_ - now, waiter.repeatable_, waiter.tried_, now);
     if (pick.kind_ != PickKind::Free && pick.kind_ != PickKind::Displaces)
         return false;
     const bool isInTime = queue_.isInTime(*ticket, now);
-    // Failure met: a question that was late already took the slot that its own node saw come free, while one that could still be in time waited
-    // at another node; in a burst each late answer cost one in time. The late one takes its turn behind those.
+    // A late request must not take its own node's freed slot while a request that can still be in time waits on another node: in
+    // a burst, each late answer would make another one late. It takes its turn after the requests that can be in time.
     const bool goesFirst = isOwnSlot && (isInTime || context_.board_.waitingInTime(service) == 0);
     const std::size_t ahead = goesFirst ? 0 : nodesAhead(service, pick.engine_, isInTime);
     if (ahead > 0 && !timerArmed_) {
@@ -114,7 +114,7 @@
     }));
 }
 
-// When this node's turn has come and the slot is still there, nobody before it wanted it.
+// Tries again when it is this node's turn. A slot that is still free then was not taken by any node with precedence.
 void SlotQueue::pumpLater(Duration delay)
 {
     timerArmed_ = true;
--- a/libs/serving/src/SlotQueue.h
+++ b/libs/serving/src/SlotQueue.h
@@ -1,11 +1,15 @@
-// The questions of this node that wait for a slot, and the slots that come free for them.
+// Queue of this node's online requests that wait for an engine slot. Assigns slots to them as these become free.
 //
-// Slots come free in three ways. A stream of this node ends: its slot is taken by a waiter of this node before the others hear of it, so
-// nobody else sends there. A peer's report shows a free slot: the nodes with waiters take their turns in an order that all of them compute
-// alike for the engine, a few milliseconds apart, and the later ones see by then that it is gone. Engines come: as the second.
+// A slot becomes free in one of three ways:
+// - A stream of this node ends. A queued request of this node takes the slot before other nodes receive a report that it is free.
+// - A peer reports a free slot. The nodes with queued requests try to take it one after the other, a few milliseconds apart, in
+//   an order that all of them compute alike for each engine. By its turn, a later node has received the report that the slot is
+//   taken.
+// - An engine is added. This is handled like a report of a free slot.
 //
-// Failure met: in a burst questions were bound to engines' own queues by counts. Ends of runs come in bunches, so of two thirds that were
-// predicted to be in time half were late (p90 of 435 ms where 195 were predicted), while other engines had free slots.
+// Requests wait here rather than in the engines' own queues because waiting times there can't be predicted well: runs tend to end
+// in groups. When requests were assigned to engine queues by load counts in a burst, two thirds were predicted to be in time, but
+// half of those were late (p90 of 435 ms instead of the predicted 195 ms) while other engines had free slots.
 #pragma once
 
 #include "Context.h"
@@ -29,31 +33,31 @@
         std::vector<UpstreamId> tried_;
         TimePoint inTimeUntil_ {};
         TimePoint keepUntil_ {};
-        std::function<void(const EnginePick&)> take_; // a slot is its own; it has left the line
-        std::function<void()> giveUp_; // its time is over; it has left the line
+        std::function<void(const EnginePick&)> take_; // called with the assigned slot, after the request has left the queue
+        std::function<void()> giveUp_; // called when keepUntil_ has passed, after the request has left the queue
     };
 
     explicit SlotQueue(Context& context);
 
     QueueTicket enter(Waiter waiter);
     void leave(QueueTicket ticket);
-    // A stream of this node has ended: whoever waits here takes its slot now.
+    // Assigns the slot of a stream of this node that has ended.
     void slotEnded() { pump(true); }
-    // Reports or engines have changed.
+    // Checks for free slots after reports or engines have changed.
     void mayHaveRoom() { pump(false); }
     void tick(TimePoint now);
     bool empty() const { return queue_.empty(); }
 
-    // A question was refused now: when to come back, at least `wait` later.
+    // Records a refused online request and returns the delay after which its caller should retry, at least `wait`.
     Duration refused(const std::string& service, Duration wait, TimePoint now);
-    // Was the caller of a question that came now refused before, to all appearance?
+    // Returns whether the caller of a new online request was probably refused before.
     bool hasReturned(const std::string& route, Duration timeLeft, TimePoint now) { return patience_.hasReturned(route, timeLeft, now); }
 
 private:
     void pump(bool isOwnSlot);
-    // Serves the first waiter of the service; false: nobody can be served now.
+    // Assigns a slot to the first queued request of the service. Returns false if there is no request or no slot.
     bool serveOne(const std::string& service, bool isOwnSlot, TimePoint now);
-    // Nodes with waiters that go before this one's first at the engine.
+    // Returns how many nodes have queued requests that take precedence over the first one of this node at the engine.
     std::size_t nodesAhead(const std::string& service, UpstreamId engine, bool isInTime) const;
     void countInTime(TimePoint now);
     void pumpLater(Duration delay);
--- a/libs/serving/tests/DecisionLogTest.cpp
+++ b/libs/serving/tests/DecisionLogTest.cpp
@@ -1,4 +1,4 @@
-// How many lines a burst may write, and what a reader learns of the rest.
+// Tests the line budget of the decision log, its report of dropped lines, and escaping.
 #include "DecisionLog.h"
 
 #include <array>
@@ -59,9 +59,9 @@
 
 } // namespace
 
-// Ten times the usual load, and whoever reads the log has stopped reading. The node must neither stop nor fill its memory; a reader that comes
-// back learns how many lines are missing.
-TEST_CASE("serving: the log of a tenfold burst stays within its budget and tells what is missing")
+// The load is ten times the usual one and the reader of the log has stopped reading. The node must neither block nor use more and
+// more memory, and must report how many lines are missing when the reader resumes.
+TEST_CASE("serving: the decision log stays within its line budget at ten times the usual load")
 {
     const Pipe pipe;
     DecisionLog log("node-1", linesPerSecond, pipe.writeEnd());
@@ -79,7 +79,7 @@
     CHECK(text.size() <= 200 * written);
 }
 
-TEST_CASE("serving: the first line after dropped ones says how many they were")
+TEST_CASE("serving: the first line after dropped lines reports how many were dropped")
 {
     const Pipe pipe;
     DecisionLog log("node-1", 2, pipe.writeEnd());
@@ -99,7 +99,7 @@
     CHECK(lines.back().at("linesDropped").to_number<std::uint64_t>() >= missing);
 }
 
-TEST_CASE("serving: whatever a caller sends in an id stays one line of JSON")
+TEST_CASE("serving: any bytes in a request id are logged as one line of JSON")
 {
     const Pipe pipe;
     DecisionLog log("node \"1\"", linesPerSecond, pipe.writeEnd());
--- a/libs/serving/tests/EventScannerTest.cpp
+++ b/libs/serving/tests/EventScannerTest.cpp
@@ -1,4 +1,4 @@
-// Whole events only, whatever the pieces in which their bytes arrive.
+// Tests that the scanner yields only complete events, however their bytes are split.
 #include "EventScanner.h"
 
 #include <doctest/doctest.h>
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("serving: events are whole in whatever pieces their bytes come")
+TEST_CASE("serving: the scanner yields complete events however their bytes are split")
 {
     const std::string stream = "id: 1\ndata: one\n\nid:2\r\ndata:two\r\n\r\n: comment\nid: 3\ndata: three\n\n";
     for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
@@ -41,9 +41,9 @@
     }
 }
 
-// An engine dies in the middle of an event. Its caller would see the first half of the event, then, from the engine at which the
-// stream goes on, the whole event again: bytes of two runs joined.
-TEST_CASE("serving: the bytes of an event that was cut never leave the scanner")
+// An engine fails in the middle of an event. Without the scanner, the caller would receive the first part of the event from this
+// engine, followed by the complete event from the engine that resumes the stream.
+TEST_CASE("serving: the scanner never yields the bytes of an incomplete event")
 {
     EventScanner scanner;
     std::string out;
--- a/libs/serving/tests/HopTimesTest.cpp
+++ b/libs/serving/tests/HopTimesTest.cpp
@@ -1,12 +1,13 @@
-// How long nodes hold a read for one another.
+// Tests the time limits of reads that are forwarded to another node.
 #include "HopTimes.h"
 
 #include <doctest/doctest.h>
 
 using namespace jj;
 
-// Guards against a read that is sent on to the job's owner, held there for longer than its sender waits, and then read from the store.
-TEST_CASE("a read that is sent on is held for what is left of its caller's wait, and answered within its bound")
+// A forwarded read must not be held by the job's owner for longer than the sender waits, or the sender times out and reads from
+// the store.
+TEST_CASE("a forwarded read is held for the rest of its caller's wait and answered within its timeout")
 {
     for (const Duration elapsed : { Duration(0ms), Duration(40ms), Duration(900ms), Duration(3s) }) {
         const HopTimes times = hopTimes(1s, elapsed);
--- a/libs/serving/tests/KeepersTest.cpp
+++ b/libs/serving/tests/KeepersTest.cpp
@@ -1,4 +1,4 @@
-// Which hosts keep a job.
+// Tests the choice of hosts that spool a job.
 #include "Keepers.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Three hosts with a disk: two domains here, one in the other region.
+// Three hosts with a disk, each in its own failure domain: two in the local region, one in another.
 std::vector<KeeperCandidate> threeHosts()
 {
     return { { NodeId(1), FailureDomainId(1), RegionId(1), true }, { NodeId(2), FailureDomainId(2), RegionId(1), true }, { NodeId(3), FailureDomainId(3), RegionId(2), false } };
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("serving: a job is kept near, in different failure domains, by one host more than may be lost")
+TEST_CASE("serving: a job is spooled nearby, in different failure domains, on one host more than may be lost")
 {
     CHECK(chooseKeepers(threeHosts(), { 1, 0, 0 }, 7).size() == 2);
     for (const NodeId node : chooseKeepers(threeHosts(), { 1, 0, 0 }, 7))
@@ -28,8 +28,8 @@
     CHECK(std::find(chosen.begin(), chosen.end(), NodeId(3)) != chosen.end());
 }
 
-// A whole region may be lost: a copy in each of two regions, or no acknowledgement.
-TEST_CASE("serving: losses of domains and regions ask for copies beyond them")
+// If a whole region may be lost, the job needs copies in two regions, otherwise it must not be acknowledged.
+TEST_CASE("serving: copies are in more failure domains and regions than may be lost")
 {
     const auto overRegions = chooseKeepers(threeHosts(), { 1, 0, 1 }, 7);
     REQUIRE(overRegions.size() == 2);
@@ -43,7 +43,7 @@
     CHECK(chooseKeepers({}, { 0, 0, 0 }, 7).empty());
 }
 
-TEST_CASE("serving: jobs spread over the hosts that can keep them")
+TEST_CASE("serving: spooled jobs are spread over all candidate hosts")
 {
     std::vector<KeeperCandidate> many;
     for (std::uint64_t node = 1; node <= 6; ++node)
