--- a/libs/serving/include/serving/ServingSettings.h
+++ b/libs/serving/include/serving/ServingSettings.h
@@ -28,8 +28,8 @@
     std::string region_;
     std::map<std::string, std::string> regions_; // region of each failure domain
     std::optional<Endpoint> callers_; // empty: this node accepts no callers
-    std::optional<Endpoint> ready_;
-    std::optional<Endpoint> metrics_;
+    std::optional<Endpoint> ready_; // address of the readiness check
+    std::optional<Endpoint> metrics_; // address for metrics and operators' requests
     Endpoint peers_; // UDP and TCP for other nodes; the next higher port is used as well (UDP)
     std::vector<std::string> seeds_; // IP addresses
     bool runsJobs_ = false; // whether this node owns jobs and runs their items
@@ -47,7 +47,7 @@
     std::uint32_t lostRegions_ = 0;
     std::string diskFolder_; // empty: this node spools no jobs
     std::size_t diskBytes_ = 64U * 1024 * 1024; // size of the disk, of which a quarter is used
-    std::size_t descriptors_ = 1024;
+    std::size_t descriptors_ = 1024; // file descriptors that the process may open
     std::uint32_t logLinesPerSecond_ = 400;
 };
 
--- a/libs/serving/src/Context.h
+++ b/libs/serving/src/Context.h
@@ -25,7 +25,7 @@
     Metrics& metrics_;
     CounterHandle answered_; // requests whose complete answer was forwarded
     CounterHandle refused_; // requests refused without being run
-    CounterHandle failed_; // requests answered with a failure that may have run
+    CounterHandle failed_; // requests that may have run and were answered with a failure
     CounterHandle brokenOff_; // answers aborted after they had started
     CounterHandle left_; // requests whose caller disconnected
     CounterHandle resent_; // requests sent to another engine
--- a/libs/serving/src/DecisionLog.h
+++ b/libs/serving/src/DecisionLog.h
@@ -65,7 +65,7 @@
     std::string prefix_; // host field and event key, the same in every line
     double linesPerSecond_;
     int descriptor_;
-    double budget_;
+    double budget_; // lines that may be written now; refilled at linesPerSecond_
     TimePoint filledAt_ {};
     TimePoint flushedAt_ {};
     std::uint64_t dropped_ = 0; // since the last line that was written
--- a/libs/serving/src/HopTimes.h
+++ b/libs/serving/src/HopTimes.h
@@ -1,9 +1,9 @@
 // Time limits of a job call that one node forwards to another.
 //
-// A caller may ask the job's owner to hold a read until there is a new result. If a forwarded read asked for the caller's full
-// wait, the forwarding node would time out first, so each read without a new result would fail and go to the store instead. After
-// a change of owner this caused two store calls per second and job. The owner is therefore asked to hold the read only for the
-// rest of the caller's wait.
+// A caller may ask the job's owner to hold a read until there is a new result. If the forwarding node passed on the caller's
+// full wait, the owner could hold the read for longer than the forwarding node waits for the reply. Each read without a new result
+// would then time out and go to the store instead. After a change of owner this caused two store calls per second and job. The
+// owner is therefore asked to hold the read only for the rest of the caller's wait.
 #pragma once
 
 #include "base/Time.h"
@@ -17,7 +17,7 @@
     Duration bound_ {}; // how long the sender waits for the answer
 };
 
-// `asked`: how long the caller is willing to wait for a result. `elapsed`: time since the caller's request arrived.
+// `callerWait`: how long the caller is willing to wait for a result. `elapsed`: time since the caller's request arrived.
 inline HopTimes hopTimes(Duration asked, Duration elapsed)
 {
     // Covers the network round trip and a store lookup by the receiver.
--- a/libs/serving/src/ItemRunner.cpp
+++ b/libs/serving/src/ItemRunner.cpp
@@ -11,6 +11,7 @@
     constexpr int statusImpossible = 422;
     constexpr int statusMisdirected = 421;
     constexpr int statusFailed = 500;
+    // Weight of the latest run in the moving average of run times.
     constexpr double meanGain = 0.1;
 
 } // namespace
--- a/libs/serving/src/ItemRunner.h
+++ b/libs/serving/src/ItemRunner.h
@@ -2,7 +2,7 @@
 //
 // Engines admit requests in order of arrival, so an item that is queued at an engine delays the online requests behind it, and a
 // running item occupies its slot for seconds. In a burst this would delay the first events of online requests. An item is
-// therefore sent only to an engine that has a free slot in addition to the reserve for online requests, and its run is cancelled
+// therefore sent only to an engine that has a free slot beyond those reserved for online requests, and its run is cancelled
 // when an online request needs the slot. The item later resumes after its last event, which costs an engine 10 to 30 ms of prompt
 // processing instead of a whole run.
 #pragma once
--- a/libs/serving/src/JobFront.h
+++ b/libs/serving/src/JobFront.h
@@ -31,9 +31,11 @@
     void respond(const std::shared_ptr<http::Exchange>& exchange, const JobName& job, const IntakeAnswer& answer, TimePoint began, TimePoint now);
     void handToOwner(const JobName& job, const Acceptance& acceptance, int tries);
     void askOwner(const AskedPtr& asked);
+    // Answers from this node. `bypassOwner`: reads the store, whichever node owns the job.
     void askHere(const AskedPtr& asked, bool force);
     void answered(const AskedPtr& asked, ReadOutcome outcome, NodeId owner, bool wasHere, const PeerReply& reply);
     void respond(const Asked& asked, ReadOutcome outcome, const PeerReply& reply);
+    // Returns the last known owner if it is alive, else the preferred one.
     NodeId ownerOf(const JobName& job) const;
     void remember(const JobName& job, NodeId owner);
 
--- a/libs/serving/src/Relay.h
+++ b/libs/serving/src/Relay.h
@@ -1,7 +1,7 @@
 // Proxies requests to engines: picks an engine, sends the request, streams the answer back, and retries or refuses if necessary.
 //
 // Each request ends in exactly one way: with the engine's answer, with a refusal stating that the request did not run, with a
-// failure after which it may have run, with an aborted connection if the answer had already started, or when the caller
+// failure response if it may have run, with an aborted connection if the answer had already started, or when the caller
 // disconnects.
 #pragma once
 
--- a/libs/serving/src/RelayAnswer.cpp
+++ b/libs/serving/src/RelayAnswer.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-    // A refused caller is asked to wait for at most a third of its remaining time, less a margin for the network.
+    // Callers accept a retry delay of at most a third of the time that they have left when the refusal reaches them. The margin
+    // covers its transmission.
     constexpr int retryShare = 3;
     constexpr Duration retryMargin = 20ms;
 
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -92,7 +92,7 @@
     const Duration bound = pickBound();
     EnginePick pick = offers_ < mostOffers ? context_.board_.pickQuestion(service_, bound, route_.isRepeatable(), tried_, now) : EnginePick {};
     // A free slot goes to the requests that are already queued. If the queue is too long for this request to be served in time,
-    // it must not take that slot either, because a queued request is about to.
+    // it must not take that slot either, because a queued request is about to take it.
     const bool isFree = pick.kind_ == PickKind::Free || pick.kind_ == PickKind::Displaces;
     if (isFree && context_.board_.waiting(service_) == 0)
         return send(pick);
--- a/libs/serving/src/RelayedRequest.h
+++ b/libs/serving/src/RelayedRequest.h
@@ -70,6 +70,7 @@
     void fail(int status, std::string_view code, std::string_view message, RunState run);
     void onTimeout();
     void onCallerLeft();
+    // Leaves the slot queue, or cancels the call to the engine and frees its slot.
     void leaveEngine();
     void end();
 
@@ -99,10 +100,10 @@
 
     Phase phase_ = Phase::Picking;
     std::vector<UpstreamId> tried_;
-    std::size_t offers_ = 0;
+    std::size_t offers_ = 0; // number of engines that the request was sent to, including those that did not run it
     std::uint32_t runs_ = 0; // number of engines that may have started the request
     QueueTicket ticket_; // set in phase Waiting
-    UpstreamId engine_; // that has the request; none in phases Picking and Waiting
+    UpstreamId engine_; // engine that the request was sent to; none in phases Picking and Waiting
     TimePoint sentAt_ {};
     std::shared_ptr<http::Call> call_;
 
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -41,7 +41,7 @@
     };
 
     constexpr Duration scanAfterLoss = 150ms;
-    // By then membership has discovered all nodes. Earlier, a live owner could be taken for dead.
+    // Membership has discovered all nodes this long after the start. In an earlier scan a live owner could be taken for dead.
     constexpr Duration firstScan = 600ms;
     // A lost transfer only delays the job, since the new owner also finds it by scanning the store.
     constexpr Duration transferBound = 600ms;
@@ -50,7 +50,8 @@
     constexpr std::size_t leastConnections = 64;
     constexpr std::string_view noKey = "0000000000000000000000000000000000000000000000000000000000000000";
 
-    // Selects one process in eight. The seed differs at each start, so the selection does too.
+    // Selects the processes, one in eight, that read a long first list of engines from the store themselves; the others receive it
+    // from those. The seed differs at each start, so the selection does too.
     bool readsLongLists(std::uint64_t seed)
     {
         constexpr std::uint64_t part = 8;
--- a/libs/serving/src/ServingParts.h
+++ b/libs/serving/src/ServingParts.h
@@ -49,6 +49,7 @@
     // Answers a request at the metrics address: the metrics, the fleet as this node knows it, or the owner of a job.
     void onOperator(const std::shared_ptr<http::Exchange>& exchange);
     void onPeerCall(PeerCall call, const std::function<void(PeerReply)>& reply);
+    // Sends a store call through a peer. Returns false if there is no live peer.
     bool routeToPeer(const ObjectCall& call, Duration bound, StoreLink::Completion done);
     void requestUpdate();
     // Returns the entry with its cell filled in, as the capacity board needs it.
@@ -58,10 +59,11 @@
     void onGiveWay(const GiveWay& ask);
     NodeId updateSource();
     void chooseWatching();
-    // Handles an object that this node found by watching the store, and notifies the hosts in its region that run jobs.
+    // Handles a retirement or a cancellation mark that this node found by watching the store, and notifies the hosts in its region
+    // that run jobs.
     void foundObject(const std::string& key);
     void notifyWorker(NodeId worker, const std::string& key, int tries);
-    // Handles an object that this node or a peer found, as far as it concerns this host.
+    // Handles a retirement or a cancellation mark that this node or a peer found. Ignored if this host runs no jobs.
     void meetObject(const std::string& key);
     void onConfig(const std::shared_ptr<const RouteTable>& table);
     void waitForSignal();
--- a/libs/serving/src/SlotQueue.cpp
+++ b/libs/serving/src/SlotQueue.cpp
@@ -82,7 +82,8 @@
     if (!ticket)
         return false;
     Waiter& waiter = waiters_.at(*ticket);
-    // Accepts any free slot. The bound only affects waiting in an engine's own queue, which is not accepted here.
+    // Accepts any free slot, even if the request will be late. The bound only affects waiting in an engine's own queue, which is
+    // not accepted here.
     const EnginePick pick = context_.board_.pickQuestion(service, waiter.keepUntil_ - now, waiter.repeatable_, waiter.tried_, now);
     if (pick.kind_ != PickKind::Free && pick.kind_ != PickKind::Displaces)
         return false;
--- a/libs/serving/src/SlotQueue.h
+++ b/libs/serving/src/SlotQueue.h
@@ -1,7 +1,8 @@
 // Queue of this node's online requests that wait for an engine slot. Assigns slots to them as these become free.
 //
 // A slot becomes free in one of three ways:
-// - A stream of this node ends. A queued request of this node takes the slot before other nodes receive a report that it is free.
+// - A stream of this node ends. A queued request of this node takes the slot before other nodes receive a report that it is free,
+//   so no other node sends a request there.
 // - A peer reports a free slot. The nodes with queued requests try to take it one after the other, a few milliseconds apart, in
 //   an order that all of them compute alike for each engine. By its turn, a later node has received the report that the slot is
 //   taken.
@@ -31,7 +32,7 @@
         std::string service_;
         bool repeatable_ = false;
         std::vector<UpstreamId> tried_;
-        TimePoint inTimeUntil_ {};
+        TimePoint inTimeUntil_ {}; // latest time of a slot with which the first event is still in time
         TimePoint keepUntil_ {};
         std::function<void(const EnginePick&)> take_; // called with the assigned slot, after the request has left the queue
         std::function<void()> giveUp_; // called when keepUntil_ has passed, after the request has left the queue
@@ -54,6 +55,8 @@
     bool hasReturned(const std::string& route, Duration timeLeft, TimePoint now) { return patience_.hasReturned(route, timeLeft, now); }
 
 private:
+    // Assigns free slots. `isOwnSlot`: this node freed the slot or its turn has come, so its requests don't wait for the turns of
+    // other nodes, except a late request while another one can still be in time.
     void pump(bool isOwnSlot);
     // Assigns a slot to the first queued request of the service. Returns false if there is no request or no slot.
     bool serveOne(const std::string& service, bool isOwnSlot, TimePoint now);
--- a/libs/serving/tests/EventScannerTest.cpp
+++ b/libs/serving/tests/EventScannerTest.cpp
@@ -42,7 +42,7 @@
 }
 
 // An engine fails in the middle of an event. Without the scanner, the caller would receive the first part of the event from this
-// engine, followed by the complete event from the engine that resumes the stream.
+// engine, followed by the complete event from the engine that resumes the stream: bytes of two runs joined.
 TEST_CASE("serving: the scanner never yields the bytes of an incomplete event")
 {
     EventScanner scanner;
