--- a/libs/capacity/include/capacity/CapacityBoard.h
+++ b/libs/capacity/include/capacity/CapacityBoard.h
@@ -3,8 +3,8 @@
 //     CapacityBoard board(settings, self, location, seed);
 //     board.upsert(entry);                          // from discovery
 //     board.applyReport(use, now);                  // from another node
-//     EnginePick pick = board.pickQuestion("chat", bound, repeatable, {}, now);
-//     if (pick.isSome()) board.started(pick.engine_, WorkClass::Question);
+//     EnginePick pick = board.pickOnline("chat", bound, repeatable, {}, now);
+//     if (pick.isSome()) board.started(pick.engine_, WorkClass::OnlineRequest);
 //
 // An online request is in time if its first event arrives within the target latency of its route.
 //
@@ -63,7 +63,7 @@
 enum class PickKind : std::uint8_t {
     None, // no engine can start the request in time
     Free, // the engine has a free slot
-    Displaces, // all slots of the engine are taken, at least one of them by a batch item that can be preempted
+    PreemptsBatch, // all slots of the engine are taken, at least one of them by a batch item that can be preempted
     Queues, // the request waits in the engine's own queue and is expected to start in time
 };
 
@@ -92,39 +92,39 @@
     // started raises the number of slots that batch may use gradually over this time.
     Duration batchRamp_ = 3s;
     // Items of other nodes go first when they are due earlier by at least this much. Smaller differences are within the age of the reports.
-    Duration dueStep_ = 250ms;
+    Duration priorityDueMargin_ = 250ms;
     // A running item yields its slot to an item that waits at another node and is due earlier by at least this much. An engine needs 10 to
     // 30 ms to read the input of a resumed item again, so an item doesn't yield for less than the length of a short run.
-    Duration cedeStep_ = 3s;
-    // The load that an engine itself reports is used for loadFresh_, and only when it exceeds the work that the nodes report by at
-    // least leastUnheard_ requests: node reports are a millisecond or two old, so a difference of one request is normal.
-    Duration loadFresh_ = 150ms;
-    std::uint32_t leastUnheard_ = 2;
-    // Backoff at the lowest failure score that causes one. It doubles with each further failure, up to longestShun_.
-    Duration firstShun_ = 500ms;
-    Duration longestShun_ = 6s;
+    Duration yieldDueMargin_ = 3s;
+    // The load that an engine itself reports is used for engineLoadTimeout_, and only when it exceeds the work that the nodes report by at
+    // least minUnreportedRequests_ requests: node reports are a millisecond or two old, so a difference of one request is normal.
+    Duration engineLoadTimeout_ = 150ms;
+    std::uint32_t minUnreportedRequests_ = 2;
+    // Backoff at the lowest failure score that causes one. It doubles with each further failure, up to maxBackoff_.
+    Duration initialBackoff_ = 500ms;
+    Duration maxBackoff_ = 6s;
     // Half-life of the failure score. A success doesn't reset the score, so an engine that fails four requests in ten keeps a high score.
     Duration failureHalfLife_ = 4s;
     // A request of this node that succeeded on an engine within this time outweighs the reports of other nodes that the engine is failing.
-    Duration freshSuccess_ = 1s;
-    // When more than this fraction of a service's engines, and more than three, lose connections of this node within sharedFault_,
+    Duration successTrustTime_ = 1s;
+    // When more than this fraction of a service's engines, and more than three, lose connections of this node within sharedFaultWindow_,
     // the failures are attributed to the node or the network.
-    double sharedFaultPart_ = 0.3;
-    Duration sharedFault_ = 400ms;
+    double sharedFaultFraction_ = 0.3;
+    Duration sharedFaultWindow_ = 400ms;
     // When an engine wasn't tested for this long after its backoff, requests that can't be repeated may test it too.
-    Duration untriedFor_ = 3s;
+    Duration untestedTimeout_ = 3s;
     // Additional latency of a request to another cell of the region, and to another region: a round trip and the connection setup.
-    Duration otherCellCost_ = 5ms;
-    Duration farCost_ = 30ms;
+    Duration otherCellLatency_ = 5ms;
+    Duration otherRegionLatency_ = 30ms;
     // The report of another cell is dropped after this time, because the cell may have filled its engines since.
     Duration cellTimeout_ = 2s;
     // Time until the first event of an online request on an idle engine; it is subtracted from the time that the request may wait.
-    Duration firstEvent_ = 40ms;
+    Duration firstEventTime_ = 40ms;
     // Initial estimate of the time that an online request occupies a slot, until runs have been measured.
-    Duration assumedRun_ = 800ms;
+    Duration initialRunEstimate_ = 800ms;
 };
 
-struct HostPlace {
+struct HostLocation {
     CellId cell_;
     RegionId region_;
     FailureDomainId domain_;
@@ -132,7 +132,7 @@
 
 class CapacityBoard {
 public:
-    CapacityBoard(CapacitySettings settings, NodeId self, HostPlace place, std::uint64_t seed);
+    CapacityBoard(CapacitySettings settings, NodeId self, HostLocation place, std::uint64_t seed);
 
     const CapacitySettings& settings() const { return settings_; }
 
@@ -157,9 +157,9 @@
     void started(UpstreamId engine, WorkClass work);
     void ended(UpstreamId engine, WorkClass work);
     // Records how long a successful online request occupied its slot.
-    void measured(Duration run);
+    void recordRunTime(Duration run);
     // Sets how many of this node's batch items on the engine can't be preempted.
-    void setFirm(UpstreamId engine, std::uint16_t items);
+    void setNonPreemptibleItems(UpstreamId engine, std::uint16_t items);
     // Sets how many online requests for the service are queued at this node, and how many of them can still meet their target latency.
     void setWaiting(std::string_view service, std::uint16_t count, std::uint16_t inTime);
     // Sets how many batch items of the service are queued at this node and can still be done in time, and when the first of them is due.
@@ -169,11 +169,11 @@
 
     // ---- reports of other nodes and cells
     // Applies the report of a node of this cell. A report that isn't newer than the last one is ignored.
-    void heard(const NodeUse& use, TimePoint now);
+    void applyReport(const NodeUse& use, TimePoint now);
     // Drops the last report of a node, with the work in it.
-    void forget(NodeId node);
+    void dropNodeReport(NodeId node);
     // Applies the report of another cell, as of the time `at`. A report that isn't newer than the last one is ignored.
-    void heardCell(const CellUse& use, TimePoint at);
+    void applyCellReport(const CellUse& use, TimePoint at);
     // Returns the report of this cell for other cells: the sum of this node's work and of the reports of the cell's other nodes.
     CellUse ownCell(TimePoint now) const;
 
@@ -183,25 +183,25 @@
     // Records that a request of this node succeeded on the engine, or that its stream began.
     void succeeded(UpstreamId engine, TimePoint now);
     // Records that a probe found the engine alive, so that a request may test it.
-    void probed(UpstreamId engine);
+    void recordProbeSuccess(UpstreamId engine);
     // Applies the load that the engine itself reported a moment ago. It is used where it is higher than the sum of the node reports,
     // because nodes whose reports don't arrive, or haven't arrived yet after a restart, use slots too.
-    void observed(UpstreamId engine, std::uint32_t running, std::uint32_t waiting, TimePoint now);
+    void applyEngineLoad(UpstreamId engine, std::uint32_t running, std::uint32_t waiting, TimePoint now);
     // Records that the engine refused a request as full although the counts showed a free slot. It gets no requests for a moment.
-    void refusedAsFull(UpstreamId engine, TimePoint now);
+    void recordFullRefusal(UpstreamId engine, TimePoint now);
     // Returns the engines whose backoff is over and that must be probed before a request may test them.
-    std::vector<UpstreamId> dueForProbe(TimePoint now) const;
+    std::vector<UpstreamId> enginesDueForProbe(TimePoint now) const;
 
     // ---- picks
     // Picks an engine for an online request. `bound`: how long the first event may take. `tried`: engines that the request was sent to
     // before. `repeatable`: the request may be sent to another engine if this one fails.
-    EnginePick pickQuestion(std::string_view service, Duration bound, bool repeatable, std::span<const UpstreamId> tried, TimePoint now);
+    EnginePick pickOnline(std::string_view service, Duration bound, bool repeatable, std::span<const UpstreamId> tried, TimePoint now);
     // Returns how long an online request that is queued now would wait, behind all queued requests of this cell that can still be in time.
     Duration queueWait(std::string_view service, TimePoint now) const;
     // Returns whether an online request that is queued now would be in time if its first event may take `bound`.
-    bool isQueueInTime(std::string_view service, Duration bound, TimePoint now) const;
+    bool canQueueInTime(std::string_view service, Duration bound, TimePoint now) const;
     // Returns the online requests for the service that are queued at another node of this cell.
-    ServiceWaiting waitingAt(NodeId node, std::string_view service) const;
+    WaitingRequests waitingAt(NodeId node, std::string_view service) const;
     // Return the number of online requests for the service that are queued at all nodes of this cell, including this one.
     std::uint32_t waiting(std::string_view service) const;
     std::uint32_t waitingInTime(std::string_view service) const;
@@ -210,14 +210,14 @@
     // cell go first on the engines of that cell.
     EnginePick pickBatch(std::string_view service, bool urgent, TimePoint due, std::span<const UpstreamId> tried, TimePoint now);
     // Returns whether a running item that is due at `due` must yield its slot to a more urgent item that waits at another node.
-    bool mustCedeItem(std::string_view service, TimePoint due, TimePoint now);
+    bool mustYieldItem(std::string_view service, TimePoint due, TimePoint now);
     // Returns the other nodes of this cell that run batch items on the engine, the one with most items first, and then the delegates of
     // other cells that run batch items there.
-    std::vector<NodeId> batchHolders(UpstreamId engine) const;
+    std::vector<NodeId> nodesRunningBatch(UpstreamId engine) const;
     // Slots of the service's engines that are neither draining nor failing, and the work of all nodes on these engines.
     struct Usage {
         std::uint32_t slots_ = 0;
-        std::uint32_t questions_ = 0;
+        std::uint32_t onlineRequests_ = 0;
         std::uint32_t batchItems_ = 0;
     };
     Usage usage(std::string_view service) const;
@@ -229,29 +229,29 @@
         EngineEntry entry_;
         EngineUse own_;
         // Invariant: the sum of the reports in reports_ and cells_ for this engine.
-        std::uint32_t othersQuestions_ = 0;
-        std::uint32_t othersBatch_ = 0;
-        std::uint32_t othersFirm_ = 0;
-        std::uint32_t unheard_ = 0; // requests that the engine reported and no node did; valid until unheardUntil_
-        TimePoint unheardUntil_ {};
-        double strikes_ = 0; // weighted number of failures, which decays over time; as of strikesAt_
-        TimePoint strikesAt_ {};
-        bool isOnTrial_ = false; // it failed, and no request has succeeded since the end of the backoff
-        bool isProbed_ = false; // a probe found it alive after its last failure
-        TimePoint shunnedUntil_ {};
+        std::uint32_t othersOnlineRequests_ = 0;
+        std::uint32_t othersBatchItems_ = 0;
+        std::uint32_t othersNonPreemptibleItems_ = 0;
+        std::uint32_t unreportedRequests_ = 0; // requests that the engine reported and no node did; valid until unreportedUntil_
+        TimePoint unreportedUntil_ {};
+        double failureScore_ = 0; // weighted number of failures, which decays over time; as of failureScoreAt_
+        TimePoint failureScoreAt_ {};
+        bool isSuspect_ = false; // it failed, and no request has succeeded since the end of the backoff
+        bool hasPassedProbe_ = false; // a probe found it alive after its last failure
+        TimePoint backoffUntil_ {};
         TimePoint fullUntil_ {};
         TimePoint lostAt_ {}; // when this node last lost a connection to it
         TimePoint succeededAt_ {};
-        std::set<NodeId> accusers_; // other nodes of this cell that report it as failing
-        std::set<CellId> doubters_; // other cells that report it as failing
+        std::set<NodeId> nodesReportingFailure_; // other nodes of this cell that report it as failing
+        std::set<CellId> cellsReportingFailure_; // other cells that report it as failing
 
-        std::uint32_t questions() const { return own_.questions_ + othersQuestions_; }
-        std::uint32_t batch() const { return own_.batchItems_ + othersBatch_; }
-        std::uint32_t firm() const { return own_.firmItems_ + othersFirm_; }
-        std::uint32_t unheard(TimePoint now) const { return now < unheardUntil_ ? unheard_ : 0; }
-        std::uint32_t total(TimePoint now) const { return questions() + batch() + unheard(now); }
+        std::uint32_t onlineRequests() const { return own_.onlineRequests_ + othersOnlineRequests_; }
+        std::uint32_t batchItems() const { return own_.batchItems_ + othersBatchItems_; }
+        std::uint32_t nonPreemptibleItems() const { return own_.nonPreemptibleItems_ + othersNonPreemptibleItems_; }
+        std::uint32_t unreportedRequests(TimePoint now) const { return now < unreportedUntil_ ? unreportedRequests_ : 0; }
+        std::uint32_t total(TimePoint now) const { return onlineRequests() + batchItems() + unreportedRequests(now); }
         // Work that an online request can't preempt.
-        std::uint32_t fixed(TimePoint now) const { return questions() + firm() + unheard(now); }
+        std::uint32_t nonPreemptibleLoad(TimePoint now) const { return onlineRequests() + nonPreemptibleItems() + unreportedRequests(now); }
     };
     struct Report {
         NodeUse use_;
@@ -262,39 +262,39 @@
         TimePoint at_ {};
     };
     enum class Distance : std::uint8_t {
-        Near, // the engine belongs to this cell
-        Region, // it belongs to another cell of this region
-        Far, // it is in another region
+        SameCell, // the engine belongs to this cell
+        SameRegion, // it belongs to another cell of this region
+        OtherRegion, // it is in another region
     };
     struct Candidate {
         Engine* engine_ = nullptr;
-        Distance distance_ = Distance::Near;
+        Distance distance_ = Distance::SameCell;
     };
 
-    void dropSilent(TimePoint now);
-    void setOnTrial(Engine& engine, bool isOnTrial);
+    void expireReports(TimePoint now);
+    void setSuspect(Engine& engine, bool isSuspect);
     void subtract(const std::vector<EngineUse>& uses);
     void add(const std::vector<EngineUse>& uses);
-    void dropCell(CellId cell);
+    void dropCellReport(CellId cell);
     Distance distanceOf(const Engine& engine) const;
-    Duration costOf(Distance distance) const;
+    Duration extraLatencyOf(Distance distance) const;
     // Returns whether the load of the engine is unknown: its cell has live nodes, but no recent report of that cell has arrived.
-    bool isUnknown(const Engine& engine, TimePoint now) const;
+    bool isLoadUnknown(const Engine& engine, TimePoint now) const;
     // Returns whether online requests for the service are queued in the engine's own cell.
-    bool isWantedThere(const Engine& engine, ServiceId service) const;
+    bool hasQueueInItsCell(const Engine& engine, ServiceId service) const;
     // Returns the usable engines of the service in random order. Engines that other nodes report as failing, and engines with unknown load,
     // are returned only if there are no others.
     std::vector<Candidate> candidates(std::string_view service, bool repeatable, std::span<const UpstreamId> tried, TimePoint now);
     // Predicts how long an online request would wait in the engine's own queue.
-    Duration engineWait(const Engine& engine, TimePoint now) const;
+    Duration predictEngineWait(const Engine& engine, TimePoint now) const;
     // Ranks engines with free slots; the lowest rank is preferred.
     std::uint64_t freeRank(const Engine& engine, Distance distance, TimePoint now) const;
     // Returns the number of slots that batch items may take now on those of the engines that belong to this cell.
-    std::uint32_t batchRoom(std::span<const Candidate> engines, bool urgent, TimePoint now) const;
+    std::uint32_t freeBatchSlots(std::span<const Candidate> engines, bool urgent, TimePoint now) const;
     // Returns the number of slots of the engine that batch items leave free.
-    std::uint32_t reserveOf(const Engine& engine, bool urgent, TimePoint now) const;
+    std::uint32_t batchReserveOf(const Engine& engine, bool urgent, TimePoint now) const;
     // Returns for each other cell the number of batch slots on its engines that its own queued items don't need.
-    std::map<CellId, std::uint32_t> surplus(std::span<const Candidate> engines, ServiceId service, bool urgent, TimePoint now) const;
+    std::map<CellId, std::uint32_t> spareBatchSlots(std::span<const Candidate> engines, ServiceId service, bool urgent, TimePoint now) const;
     // Returns the number of items that are queued at other nodes of this cell and are due before `due`.
     std::uint32_t itemsDueBefore(std::string_view service, TimePoint due) const;
     // Returns whether the engine may get a request now; one that failed may get one only as a test.
@@ -302,25 +302,25 @@
     // Returns whether others report the engine as failing while this node has neither a failure nor a recent success of its own on it.
     bool isDoubtful(const Engine& engine, TimePoint now) const;
     // Returns whether this node is the one that tests the engine.
-    bool isTester(const Engine& engine) const;
+    bool isTestingNode(const Engine& engine) const;
     // Returns whether the loss of connections to the service's engines is attributed to this node or the network.
     bool isSharedFault(const Engine& engine, TimePoint now) const;
-    void addAccusations(const NodeUse& use, bool stands);
-    void addDoubts(const CellUse& use, bool stands);
+    void updateNodeFailureReports(const NodeUse& use, bool isReported);
+    void updateCellFailureReports(const CellUse& use, bool isReported);
 
     CapacitySettings settings_;
     NodeId self_;
-    HostPlace place_;
+    HostLocation location_;
     std::mt19937_64 random_;
     std::unordered_map<UpstreamId, Engine> engines_;
-    // Invariant: onTrial_ holds the engines with isOnTrial_ set, and ownWork_ the engines that run work of this node. The sets are
+    // Invariant: suspects_ holds the engines with isSuspect_ set, and ownWork_ the engines that run work of this node. The sets are
     // ordered, so that iteration is deterministic.
-    std::set<UpstreamId> onTrial_;
+    std::set<UpstreamId> suspects_;
     std::set<UpstreamId> ownWork_;
     std::map<NodeId, Report> reports_;
     std::map<CellId, CellReport> cells_; // the last reports of other cells
-    std::set<CellId> peopled_; // other cells that have live nodes
-    TimePoint silentCheckedAt_ {};
+    std::set<CellId> cellsWithNodes_; // other cells that have live nodes
+    TimePoint expiryCheckedAt_ {};
     TimePoint startedAt_ {};
     struct OwnItems {
         std::uint16_t count_ = 0;
@@ -328,9 +328,9 @@
     };
 
     // Returns the online requests for the service that are queued at all nodes of this cell, including this one.
-    ServiceWaiting allWaiting(std::string_view service) const;
+    WaitingRequests allWaiting(std::string_view service) const;
 
-    std::map<ServiceId, ServiceWaiting> ownWaiting_;
+    std::map<ServiceId, WaitingRequests> ownWaiting_;
     std::map<ServiceId, OwnItems> ownItems_;
     double meanRunSeconds_;
     std::function<bool(const Endpoint&)> hasConnection_;
--- a/libs/capacity/include/capacity/NodeUse.h
+++ b/libs/capacity/include/capacity/NodeUse.h
@@ -11,7 +11,7 @@
 namespace jj {
 
 enum class WorkClass : std::uint8_t {
-    Question, // a caller waits for its first event
+    OnlineRequest, // a caller waits for its first event
     BatchItem, // can be preempted by online requests, and is resumed later
 };
 
@@ -20,29 +20,29 @@
 // Invariant: the counts are totals, not differences, so that the next datagram makes up for a lost one.
 struct EngineUse {
     UpstreamId engine_;
-    std::uint16_t questions_ = 0;
+    std::uint16_t onlineRequests_ = 0;
     std::uint16_t batchItems_ = 0;
-    std::uint16_t firmItems_ = 0; // batch items that are due too soon to be preempted; included in batchItems_
+    std::uint16_t nonPreemptibleItems_ = 0; // batch items that are due too soon to be preempted; included in batchItems_
 
     friend bool operator==(const EngineUse&, const EngineUse&) = default;
 };
 
 // The online requests for a service that are queued at a node until a slot is free.
-struct ServiceWaiting {
+struct WaitingRequests {
     ServiceId service_;
     std::uint16_t count_ = 0;
     std::uint16_t inTime_ = 0; // those that can still meet their target latency; included in count_
 
-    friend bool operator==(const ServiceWaiting&, const ServiceWaiting&) = default;
+    friend bool operator==(const WaitingRequests&, const WaitingRequests&) = default;
 };
 
 // The batch items of a service that are queued at a node until a slot is free and can still be done in time.
-struct ItemsWaiting {
+struct WaitingItems {
     ServiceId service_;
     std::uint16_t count_ = 0;
     Duration dueIn_ {}; // from the sending of the report until the first item is due
 
-    friend bool operator==(const ItemsWaiting&, const ItemsWaiting&) = default;
+    friend bool operator==(const WaitingItems&, const WaitingItems&) = default;
 };
 
 // The report of one node to the other nodes of its cell.
@@ -51,9 +51,9 @@
     Incarnation incarnation_; // of the process; a report of an older incarnation is dropped
     std::uint32_t sequence_ = 0; // increases with each report of the process
     std::vector<EngineUse> uses_; // only engines with work
-    std::vector<UpstreamId> shunned_; // engines that failed for the node and have not succeeded since
-    std::vector<ServiceWaiting> waiting_; // only services with queued requests
-    std::vector<ItemsWaiting> items_; // only services with queued items
+    std::vector<UpstreamId> failingEngines_; // engines that failed for the node and have not succeeded since
+    std::vector<WaitingRequests> waiting_; // only services with queued requests
+    std::vector<WaitingItems> items_; // only services with queued items
 };
 
 // The report of a cell to other cells: the sum of the reports of its nodes.
@@ -61,9 +61,9 @@
     CellId cell_;
     NodeId delegate_; // the node that computes the sum, and that forwards preemption requests to the other nodes of the cell
     std::vector<EngineUse> uses_; // only engines with work of the cell
-    std::vector<UpstreamId> shunned_; // engines that fail for several of its nodes, or for its only node
-    std::vector<ServiceWaiting> waiting_;
-    std::vector<ItemsWaiting> items_;
+    std::vector<UpstreamId> failingEngines_; // engines that fail for several of its nodes, or for its only node
+    std::vector<WaitingRequests> waiting_;
+    std::vector<WaitingItems> items_;
 };
 
 } // namespace jj
--- a/libs/capacity/include/capacity/FullPhases.h
+++ b/libs/capacity/include/capacity/OverloadPredictor.h
@@ -15,56 +15,56 @@
 
 namespace jj {
 
-class FullPhases {
+class OverloadPredictor {
 public:
     // Records that a request was refused because the service has no free slot.
     void refused(TimePoint now)
     {
-        if (!isFull_ || now - lastRefusal_ > quiet) {
-            close(now);
-            isFull_ = true;
-            began_ = now;
+        if (!isOverloaded_ || now - lastRefusal_ > maxRefusalGap) {
+            endPeriod(now);
+            isOverloaded_ = true;
+            periodStart_ = now;
         }
         lastRefusal_ = now;
     }
 
     // Returns after which time a refused caller is to retry: the expected rest of the overload and half of the usual pause after it; zero
     // when the service isn't overloaded.
-    Duration remaining(TimePoint now) const
+    Duration retryDelay(TimePoint now) const
     {
-        if (!isFull_ || now - lastRefusal_ > quiet)
+        if (!isOverloaded_ || now - lastRefusal_ > maxRefusalGap)
             return Duration::zero();
-        const Duration sofar = now - began_;
-        const Duration expected = isKnown_ ? mean_ : assumed;
+        const Duration elapsed = now - periodStart_;
+        const Duration expected = hasEstimate_ ? meanLength_ : initialEstimate;
         // A period that is already longer than usual is expected to last for another quarter of its length so far.
-        return std::max<Duration>(expected - sofar, sofar / 4) + pause_ / 2;
+        return std::max<Duration>(expected - elapsed, elapsed / 4) + meanPause_ / 2;
     }
 
 private:
     // Two refusals of the same burst are closer together than this, and two bursts are farther apart.
-    static constexpr Duration quiet = std::chrono::milliseconds(600);
+    static constexpr Duration maxRefusalGap = std::chrono::milliseconds(600);
     // The expected length of the first period, for which there is no measurement yet; most bursts last longer.
-    static constexpr Duration assumed = std::chrono::seconds(1);
+    static constexpr Duration initialEstimate = std::chrono::seconds(1);
     // Longer pauses are cut to this: the load isn't periodic then, and half of the pause is no useful retry delay.
-    static constexpr Duration longestPause = std::chrono::seconds(10);
+    static constexpr Duration maxPause = std::chrono::seconds(10);
 
-    void close(TimePoint now)
+    void endPeriod(TimePoint now)
     {
-        if (!isFull_)
+        if (!isOverloaded_)
             return;
-        const Duration lasted = lastRefusal_ - began_;
-        const Duration pause = std::min<Duration>(now - lastRefusal_, longestPause);
-        mean_ = isKnown_ ? mean_ + (lasted - mean_) / 3 : lasted;
-        pause_ = isKnown_ ? pause_ + (pause - pause_) / 3 : pause;
-        isKnown_ = true;
+        const Duration length = lastRefusal_ - periodStart_;
+        const Duration pause = std::min<Duration>(now - lastRefusal_, maxPause);
+        meanLength_ = hasEstimate_ ? meanLength_ + (length - meanLength_) / 3 : length;
+        meanPause_ = hasEstimate_ ? meanPause_ + (pause - meanPause_) / 3 : pause;
+        hasEstimate_ = true;
     }
 
-    bool isFull_ = false;
-    bool isKnown_ = false;
-    TimePoint began_ {};
+    bool isOverloaded_ = false;
+    bool hasEstimate_ = false;
+    TimePoint periodStart_ {};
     TimePoint lastRefusal_ {};
-    Duration mean_ {};
-    Duration pause_ {}; // mean time between two periods
+    Duration meanLength_ {};
+    Duration meanPause_ {}; // mean time between two periods
 };
 
 } // namespace jj
--- a/libs/capacity/include/capacity/CallerPatience.h
+++ b/libs/capacity/include/capacity/RetryDetector.h
@@ -15,35 +15,35 @@
 
 namespace jj {
 
-class CallerPatience {
+class RetryDetector {
 public:
     // Returns whether the request is probably a retry, and records the time that it allows.
-    bool hasReturned(const std::string& route, Duration timeLeft, TimePoint now)
+    bool isProbableRetry(const std::string& route, Duration timeLeft, TimePoint now)
     {
-        if (longest_.size() >= mostRoutes)
-            longest_.clear();
-        Longest& longest = longest_[route];
-        if (now - longest.seenAt_ > forgottenAfter || timeLeft >= longest.time_ - timingNoise)
-            longest = { std::max(timeLeft, now - longest.seenAt_ > forgottenAfter ? timeLeft : longest.time_), now };
-        return timeLeft < longest.time_ - leastAbsence;
+        if (longestTimes_.size() >= maxRoutes)
+            longestTimes_.clear();
+        LongestTime& longestTime = longestTimes_[route];
+        if (now - longestTime.seenAt_ > recordLifetime || timeLeft >= longestTime.time_ - timingNoise)
+            longestTime = { std::max(timeLeft, now - longestTime.seenAt_ > recordLifetime ? timeLeft : longestTime.time_), now };
+        return timeLeft < longestTime.time_ - minRetryDelay;
     }
 
 private:
     // Requests that allow the same time differ by their time on the network.
     static constexpr Duration timingNoise = std::chrono::milliseconds(50);
     // No refusal lets a caller retry sooner than this.
-    static constexpr Duration leastAbsence = std::chrono::milliseconds(120);
+    static constexpr Duration minRetryDelay = std::chrono::milliseconds(120);
     // When callers begin to allow less time, the longer time of earlier requests is dropped after this delay.
-    static constexpr Duration forgottenAfter = std::chrono::seconds(10);
+    static constexpr Duration recordLifetime = std::chrono::seconds(10);
     // Limits the memory: when there are so many routes, all records are dropped.
-    static constexpr std::size_t mostRoutes = 1024;
+    static constexpr std::size_t maxRoutes = 1024;
 
-    struct Longest {
+    struct LongestTime {
         Duration time_ {};
         TimePoint seenAt_ {};
     };
 
-    std::map<std::string, Longest> longest_;
+    std::map<std::string, LongestTime> longestTimes_;
 };
 
 } // namespace jj
--- a/libs/capacity/include/capacity/WaitingQueue.h
+++ b/libs/capacity/include/capacity/WaitingQueue.h
@@ -42,16 +42,16 @@
     // Returns the number of requests for the service that can still meet their target latency.
     std::uint16_t inTime(std::string_view service, TimePoint now) const;
     bool isInTime(QueueTicket ticket, TimePoint now) const;
-    bool empty() const { return waiters_.empty(); }
+    bool empty() const { return queuedRequests_.empty(); }
 
 private:
-    struct Waiter {
+    struct QueuedRequest {
         std::string service_;
         TimePoint inTimeUntil_ {};
         TimePoint keepUntil_ {};
     };
 
-    std::map<QueueTicket, Waiter> waiters_; // tickets increase, so the oldest comes first
+    std::map<QueueTicket, QueuedRequest> queuedRequests_; // tickets increase, so the oldest comes first
     std::uint64_t nextTicket_ = 1;
 };
 
--- a/libs/capacity/src/CapacityAnswers.cpp
+++ b/libs/capacity/src/CapacityAnswers.cpp
@@ -10,23 +10,23 @@
 
     // An engine refuses a request as full when the counts of the node that sent it are behind. It needs one or two inference steps until
     // its queue is shorter.
-    constexpr Duration fullPause = 30ms;
+    constexpr Duration fullBackoff = 30ms;
 
 } // namespace
 
 // Independent engine failures don't happen at the same moment, so simultaneous losses point to the node or its network.
 bool CapacityBoard::isSharedFault(const Engine& engine, TimePoint now) const
 {
-    constexpr std::size_t alwaysBlamed = 3;
+    constexpr std::size_t maxUnrelatedLosses = 3;
     std::size_t all = 0;
     std::size_t lost = 0;
     for (const auto& [id, one] : engines_) {
         if (one.entry_.service_ != engine.entry_.service_)
             continue;
         ++all;
-        lost += one.lostAt_ != TimePoint() && now - one.lostAt_ <= settings_.sharedFault_ ? 1 : 0;
+        lost += one.lostAt_ != TimePoint() && now - one.lostAt_ <= settings_.sharedFaultWindow_ ? 1 : 0;
     }
-    return lost > alwaysBlamed && static_cast<double>(lost) > settings_.sharedFaultPart_ * static_cast<double>(all);
+    return lost > maxUnrelatedLosses && static_cast<double>(lost) > settings_.sharedFaultFraction_ * static_cast<double>(all);
 }
 
 Duration CapacityBoard::failed(UpstreamId engine, EngineFault fault, TimePoint now)
@@ -41,25 +41,25 @@
             return {};
     }
     // All streams of an engine end when it crashes; they count as one failure.
-    if (one.isOnTrial_ && now < one.shunnedUntil_)
-        return one.shunnedUntil_ - now;
+    if (one.isSuspect_ && now < one.backoffUntil_)
+        return one.backoffUntil_ - now;
     // In the order of EngineFault. An error answer counts half, because the request itself may be its cause.
     constexpr double weights[] = { 1, 1, 0.5 };
-    const Duration since = std::max<Duration>(now - one.strikesAt_, Duration::zero());
-    const double faded = std::exp2(-toSeconds(since) / toSeconds(settings_.failureHalfLife_));
-    one.strikes_ = one.strikes_ * faded + weights[static_cast<std::size_t>(fault)];
-    one.strikesAt_ = now;
-    if (one.strikes_ < 1)
+    const Duration since = std::max<Duration>(now - one.failureScoreAt_, Duration::zero());
+    const double decayFactor = std::exp2(-toSeconds(since) / toSeconds(settings_.failureHalfLife_));
+    one.failureScore_ = one.failureScore_ * decayFactor + weights[static_cast<std::size_t>(fault)];
+    one.failureScoreAt_ = now;
+    if (one.failureScore_ < 1)
         return {};
-    constexpr double mostStrikes = 8;
-    one.strikes_ = std::min(one.strikes_, mostStrikes);
-    const Duration shun = std::min<Duration>(settings_.longestShun_, fromSeconds(toSeconds(settings_.firstShun_) * std::exp2(one.strikes_ - 1)));
-    setOnTrial(one, true);
-    one.isProbed_ = false;
-    one.shunnedUntil_ = now + shun;
+    constexpr double maxFailureScore = 8;
+    one.failureScore_ = std::min(one.failureScore_, maxFailureScore);
+    const Duration backoff = std::min<Duration>(settings_.maxBackoff_, fromSeconds(toSeconds(settings_.initialBackoff_) * std::exp2(one.failureScore_ - 1)));
+    setSuspect(one, true);
+    one.hasPassedProbe_ = false;
+    one.backoffUntil_ = now + backoff;
     // The engine gets no requests during the backoff and can't succeed, so the decay of the score begins after it.
-    one.strikesAt_ = one.shunnedUntil_;
-    return shun;
+    one.failureScoreAt_ = one.backoffUntil_;
+    return backoff;
 }
 
 void CapacityBoard::succeeded(UpstreamId engine, TimePoint now)
@@ -70,54 +70,54 @@
     Engine& one = found->second;
     one.succeededAt_ = now;
     // The success of a stream that began before the failure doesn't prove that the engine works again.
-    if (one.isOnTrial_ && now >= one.shunnedUntil_)
-        setOnTrial(one, false);
+    if (one.isSuspect_ && now >= one.backoffUntil_)
+        setSuspect(one, false);
 }
 
-void CapacityBoard::setOnTrial(Engine& engine, bool isOnTrial)
+void CapacityBoard::setSuspect(Engine& engine, bool isSuspect)
 {
-    engine.isOnTrial_ = isOnTrial;
-    if (isOnTrial)
-        onTrial_.insert(engine.entry_.id_);
+    engine.isSuspect_ = isSuspect;
+    if (isSuspect)
+        suspects_.insert(engine.entry_.id_);
     else
-        onTrial_.erase(engine.entry_.id_);
+        suspects_.erase(engine.entry_.id_);
 }
 
-void CapacityBoard::probed(UpstreamId engine)
+void CapacityBoard::recordProbeSuccess(UpstreamId engine)
 {
     const auto found = engines_.find(engine);
     if (found != engines_.end())
-        found->second.isProbed_ = true;
+        found->second.hasPassedProbe_ = true;
 }
 
-void CapacityBoard::refusedAsFull(UpstreamId engine, TimePoint now)
+void CapacityBoard::recordFullRefusal(UpstreamId engine, TimePoint now)
 {
     const auto found = engines_.find(engine);
     if (found != engines_.end())
-        found->second.fullUntil_ = now + fullPause;
+        found->second.fullUntil_ = now + fullBackoff;
 }
 
-std::vector<UpstreamId> CapacityBoard::dueForProbe(TimePoint now) const
+std::vector<UpstreamId> CapacityBoard::enginesDueForProbe(TimePoint now) const
 {
     std::vector<UpstreamId> due;
-    for (const UpstreamId id : onTrial_) {
+    for (const UpstreamId id : suspects_) {
         const Engine& engine = engines_.at(id);
-        if (!engine.isProbed_ && now >= engine.shunnedUntil_)
+        if (!engine.hasPassedProbe_ && now >= engine.backoffUntil_)
             due.push_back(id);
     }
     return due;
 }
 
-void CapacityBoard::observed(UpstreamId engine, std::uint32_t running, std::uint32_t waiting, TimePoint now)
+void CapacityBoard::applyEngineLoad(UpstreamId engine, std::uint32_t running, std::uint32_t waiting, TimePoint now)
 {
     const auto found = engines_.find(engine);
     if (found == engines_.end())
         return;
     Engine& one = found->second;
-    const std::uint32_t reported = one.questions() + one.batch();
-    const std::uint32_t unheard = running + waiting > reported ? running + waiting - reported : 0;
-    one.unheard_ = unheard >= settings_.leastUnheard_ ? unheard : 0;
-    one.unheardUntil_ = now + settings_.loadFresh_;
+    const std::uint32_t reported = one.onlineRequests() + one.batchItems();
+    const std::uint32_t unreportedRequests = running + waiting > reported ? running + waiting - reported : 0;
+    one.unreportedRequests_ = unreportedRequests >= settings_.minUnreportedRequests_ ? unreportedRequests : 0;
+    one.unreportedUntil_ = now + settings_.engineLoadTimeout_;
 }
 
 } // namespace jj
--- a/libs/capacity/src/CapacityBoard.cpp
+++ b/libs/capacity/src/CapacityBoard.cpp
@@ -12,16 +12,16 @@
     // Weight of a new measurement in the moving average of the time that an online request occupies its slot.
     constexpr double meanGain = 0.05;
     // Well under CapacitySettings::reportTimeout_, so that reports are dropped soon after it without a check at each pick.
-    constexpr Duration silentCheckPeriod = 100ms;
+    constexpr Duration expiryCheckPeriod = 100ms;
 
 } // namespace
 
-CapacityBoard::CapacityBoard(CapacitySettings settings, NodeId self, HostPlace place, std::uint64_t seed)
+CapacityBoard::CapacityBoard(CapacitySettings settings, NodeId self, HostLocation place, std::uint64_t seed)
     : settings_(settings)
     , self_(self)
-    , place_(place)
+    , location_(place)
     , random_(seed)
-    , meanRunSeconds_(toSeconds(settings.assumedRun_))
+    , meanRunSeconds_(toSeconds(settings.initialRunEstimate_))
 {
 }
 
@@ -40,28 +40,28 @@
         for (const EngineUse& use : uses) {
             if (use.engine_ != engine.entry_.id_)
                 continue;
-            engine.othersQuestions_ += use.questions_;
-            engine.othersBatch_ += use.batchItems_;
-            engine.othersFirm_ += use.firmItems_;
+            engine.othersOnlineRequests_ += use.onlineRequests_;
+            engine.othersBatchItems_ += use.batchItems_;
+            engine.othersNonPreemptibleItems_ += use.nonPreemptibleItems_;
         }
     };
-    const auto isIn = [&engine](const std::vector<UpstreamId>& shunned) { return std::find(shunned.begin(), shunned.end(), engine.entry_.id_) != shunned.end(); };
+    const auto isIn = [&engine](const std::vector<UpstreamId>& failingEngines) { return std::find(failingEngines.begin(), failingEngines.end(), engine.entry_.id_) != failingEngines.end(); };
     for (const auto& [node, report] : reports_) {
         addUse(report.use_.uses_);
-        if (isIn(report.use_.shunned_))
-            engine.accusers_.insert(node);
+        if (isIn(report.use_.failingEngines_))
+            engine.nodesReportingFailure_.insert(node);
     }
     for (const auto& [cell, report] : cells_) {
         addUse(report.use_.uses_);
-        if (isIn(report.use_.shunned_))
-            engine.doubters_.insert(cell);
+        if (isIn(report.use_.failingEngines_))
+            engine.cellsReportingFailure_.insert(cell);
     }
 }
 
 void CapacityBoard::remove(UpstreamId engine)
 {
     engines_.erase(engine);
-    onTrial_.erase(engine);
+    suspects_.erase(engine);
     ownWork_.erase(engine);
 }
 
@@ -88,7 +88,7 @@
     const auto found = engines_.find(engine);
     if (found == engines_.end())
         return;
-    ++(work == WorkClass::Question ? found->second.own_.questions_ : found->second.own_.batchItems_);
+    ++(work == WorkClass::OnlineRequest ? found->second.own_.onlineRequests_ : found->second.own_.batchItems_);
     ownWork_.insert(engine);
 }
 
@@ -97,19 +97,19 @@
     const auto found = engines_.find(engine);
     if (found == engines_.end())
         return;
-    std::uint16_t& count = work == WorkClass::Question ? found->second.own_.questions_ : found->second.own_.batchItems_;
+    std::uint16_t& count = work == WorkClass::OnlineRequest ? found->second.own_.onlineRequests_ : found->second.own_.batchItems_;
     // If the engine was removed and added again in between, the work was counted on the entry that was removed.
     if (count > 0)
         --count;
-    if (found->second.own_.questions_ + found->second.own_.batchItems_ == 0)
+    if (found->second.own_.onlineRequests_ + found->second.own_.batchItems_ == 0)
         ownWork_.erase(engine);
 }
 
-void CapacityBoard::setFirm(UpstreamId engine, std::uint16_t items)
+void CapacityBoard::setNonPreemptibleItems(UpstreamId engine, std::uint16_t items)
 {
     const auto found = engines_.find(engine);
     if (found != engines_.end())
-        found->second.own_.firmItems_ = items;
+        found->second.own_.nonPreemptibleItems_ = items;
 }
 
 void CapacityBoard::setWaiting(std::string_view service, std::uint16_t count, std::uint16_t inTime)
@@ -123,14 +123,14 @@
     ownItems_[idFromName<ServiceId>(service)] = { count, firstDue };
 }
 
-void CapacityBoard::measured(Duration run) { meanRunSeconds_ += meanGain * (toSeconds(run) - meanRunSeconds_); }
+void CapacityBoard::recordRunTime(Duration run) { meanRunSeconds_ += meanGain * (toSeconds(run) - meanRunSeconds_); }
 
 NodeUse CapacityBoard::ownUse(TimePoint now) const
 {
     NodeUse use;
     for (const UpstreamId id : ownWork_)
         use.uses_.push_back(engines_.at(id).own_);
-    use.shunned_.assign(onTrial_.begin(), onTrial_.end());
+    use.failingEngines_.assign(suspects_.begin(), suspects_.end());
     for (const auto& [service, waiting] : ownWaiting_) {
         if (waiting.count_ > 0)
             use.waiting_.push_back(waiting);
@@ -150,9 +150,9 @@
         const auto found = engines_.find(one.engine_);
         if (found == engines_.end())
             continue;
-        found->second.othersQuestions_ -= std::min<std::uint32_t>(one.questions_, found->second.othersQuestions_);
-        found->second.othersBatch_ -= std::min<std::uint32_t>(one.batchItems_, found->second.othersBatch_);
-        found->second.othersFirm_ -= std::min<std::uint32_t>(one.firmItems_, found->second.othersFirm_);
+        found->second.othersOnlineRequests_ -= std::min<std::uint32_t>(one.onlineRequests_, found->second.othersOnlineRequests_);
+        found->second.othersBatchItems_ -= std::min<std::uint32_t>(one.batchItems_, found->second.othersBatchItems_);
+        found->second.othersNonPreemptibleItems_ -= std::min<std::uint32_t>(one.nonPreemptibleItems_, found->second.othersNonPreemptibleItems_);
     }
 }
 
@@ -162,26 +162,26 @@
         const auto found = engines_.find(one.engine_);
         if (found == engines_.end())
             continue;
-        found->second.othersQuestions_ += one.questions_;
-        found->second.othersBatch_ += one.batchItems_;
-        found->second.othersFirm_ += one.firmItems_;
+        found->second.othersOnlineRequests_ += one.onlineRequests_;
+        found->second.othersBatchItems_ += one.batchItems_;
+        found->second.othersNonPreemptibleItems_ += one.nonPreemptibleItems_;
     }
 }
 
-void CapacityBoard::addAccusations(const NodeUse& use, bool stands)
+void CapacityBoard::updateNodeFailureReports(const NodeUse& use, bool isReported)
 {
-    for (const UpstreamId id : use.shunned_) {
+    for (const UpstreamId id : use.failingEngines_) {
         const auto found = engines_.find(id);
         if (found == engines_.end())
             continue;
-        if (stands)
-            found->second.accusers_.insert(use.node_);
+        if (isReported)
+            found->second.nodesReportingFailure_.insert(use.node_);
         else
-            found->second.accusers_.erase(use.node_);
+            found->second.nodesReportingFailure_.erase(use.node_);
     }
 }
 
-void CapacityBoard::heard(const NodeUse& use, TimePoint now)
+void CapacityBoard::applyReport(const NodeUse& use, TimePoint now)
 {
     Report& report = reports_[use.node_];
     const bool isKnown = !report.use_.node_.isNone();
@@ -190,57 +190,57 @@
         return;
     if (isKnown) {
         subtract(report.use_.uses_);
-        addAccusations(report.use_, false);
+        updateNodeFailureReports(report.use_, false);
     }
     report = { use, now };
     add(use.uses_);
-    addAccusations(use, true);
+    updateNodeFailureReports(use, true);
 }
 
-void CapacityBoard::forget(NodeId node)
+void CapacityBoard::dropNodeReport(NodeId node)
 {
     const auto found = reports_.find(node);
     if (found == reports_.end())
         return;
     subtract(found->second.use_.uses_);
-    addAccusations(found->second.use_, false);
+    updateNodeFailureReports(found->second.use_, false);
     reports_.erase(found);
 }
 
-void CapacityBoard::dropSilent(TimePoint now)
+void CapacityBoard::expireReports(TimePoint now)
 {
-    if (now - silentCheckedAt_ < silentCheckPeriod)
+    if (now - expiryCheckedAt_ < expiryCheckPeriod)
         return;
-    silentCheckedAt_ = now;
-    std::vector<NodeId> silent;
+    expiryCheckedAt_ = now;
+    std::vector<NodeId> expiredNodes;
     for (const auto& [node, report] : reports_) {
         if (now - report.at_ > settings_.reportTimeout_)
-            silent.push_back(node);
+            expiredNodes.push_back(node);
     }
-    for (const NodeId node : silent)
-        forget(node);
-    std::vector<CellId> silentCells;
+    for (const NodeId node : expiredNodes)
+        dropNodeReport(node);
+    std::vector<CellId> expiredCells;
     for (const auto& [cell, report] : cells_) {
         if (now - report.at_ > settings_.cellTimeout_)
-            silentCells.push_back(cell);
+            expiredCells.push_back(cell);
     }
-    for (const CellId cell : silentCells)
-        dropCell(cell);
+    for (const CellId cell : expiredCells)
+        dropCellReport(cell);
 }
 
-std::vector<NodeId> CapacityBoard::batchHolders(UpstreamId engine) const
+std::vector<NodeId> CapacityBoard::nodesRunningBatch(UpstreamId engine) const
 {
-    std::vector<std::pair<std::uint16_t, NodeId>> holders;
+    std::vector<std::pair<std::uint16_t, NodeId>> batchCounts;
     for (const auto& [node, report] : reports_) {
         for (const EngineUse& use : report.use_.uses_) {
             if (use.engine_ == engine && use.batchItems_ > 0)
-                holders.push_back({ use.batchItems_, node });
+                batchCounts.push_back({ use.batchItems_, node });
         }
     }
-    std::sort(holders.begin(), holders.end(), std::greater<>());
+    std::sort(batchCounts.begin(), batchCounts.end(), std::greater<>());
     std::vector<NodeId> nodes;
-    nodes.reserve(holders.size());
-    for (const auto& [count, node] : holders)
+    nodes.reserve(batchCounts.size());
+    for (const auto& [count, node] : batchCounts)
         nodes.push_back(node);
     for (const auto& [cell, report] : cells_) {
         const auto& uses = report.use_.uses_;
--- a/libs/capacity/src/CapacityPicks.cpp
+++ b/libs/capacity/src/CapacityPicks.cpp
@@ -12,7 +12,7 @@
 namespace {
 
     // The predicted wait when the service has no usable engine; longer than any online request waits.
-    constexpr Duration neverWait = std::chrono::hours(1);
+    constexpr Duration noEngineWait = std::chrono::hours(1);
 
 } // namespace
 
@@ -20,27 +20,27 @@
 
 // Only the node with the lowest id among those that report the engine as failing tests it. If each of them did, each would lose a request
 // for the same result.
-bool CapacityBoard::isTester(const Engine& engine) const
+bool CapacityBoard::isTestingNode(const Engine& engine) const
 {
-    return engine.accusers_.empty() || self_ < *engine.accusers_.begin();
+    return engine.nodesReportingFailure_.empty() || self_ < *engine.nodesReportingFailure_.begin();
 }
 
 bool CapacityBoard::isUsable(const Engine& engine, bool repeatable, TimePoint now) const
 {
     if (engine.entry_.draining_ || now < engine.fullUntil_)
         return false;
-    if (!engine.isOnTrial_)
+    if (!engine.isSuspect_)
         return true;
-    const bool mayTry = repeatable || now >= engine.shunnedUntil_ + settings_.untriedFor_;
-    const bool isIdleHere = engine.own_.questions_ + engine.own_.batchItems_ == 0;
-    return engine.isProbed_ && now >= engine.shunnedUntil_ && isIdleHere && mayTry && isTester(engine);
+    const bool mayTest = repeatable || now >= engine.backoffUntil_ + settings_.untestedTimeout_;
+    const bool isIdleHere = engine.own_.onlineRequests_ + engine.own_.batchItems_ == 0;
+    return engine.hasPassedProbe_ && now >= engine.backoffUntil_ && isIdleHere && mayTest && isTestingNode(engine);
 }
 
 bool CapacityBoard::isDoubtful(const Engine& engine, TimePoint now) const
 {
-    if ((engine.accusers_.empty() && engine.doubters_.empty()) || engine.isOnTrial_)
+    if ((engine.nodesReportingFailure_.empty() && engine.cellsReportingFailure_.empty()) || engine.isSuspect_)
         return false;
-    return engine.succeededAt_ == TimePoint() || now - engine.succeededAt_ > settings_.freshSuccess_;
+    return engine.succeededAt_ == TimePoint() || now - engine.succeededAt_ > settings_.successTrustTime_;
 }
 
 std::vector<CapacityBoard::Candidate> CapacityBoard::candidates(std::string_view service, bool repeatable, std::span<const UpstreamId> tried, TimePoint now)
@@ -50,7 +50,7 @@
     for (auto& [id, engine] : engines_) {
         if (engine.entry_.service_ != service || !isUsable(engine, repeatable, now) || std::find(tried.begin(), tried.end(), id) != tried.end())
             continue;
-        auto& list = isDoubtful(engine, now) || isUnknown(engine, now) ? doubtful : found;
+        auto& list = isDoubtful(engine, now) || isLoadUnknown(engine, now) ? doubtful : found;
         list.push_back({ &engine, distanceOf(engine) });
     }
     // A doubtful engine is used only when there is no other.
@@ -61,19 +61,19 @@
 }
 
 // Online requests end one after the other: when n of them are running, a slot becomes free after 1/n of the mean run time.
-Duration CapacityBoard::engineWait(const Engine& engine, TimePoint now) const
+Duration CapacityBoard::predictEngineWait(const Engine& engine, TimePoint now) const
 {
     const std::uint32_t slots = std::max(1U, engine.entry_.slots_);
-    const std::uint32_t fixed = engine.fixed(now);
-    const std::uint32_t waiting = fixed >= slots ? fixed - slots + 1 : 0;
+    const std::uint32_t nonPreemptibleLoad = engine.nonPreemptibleLoad(now);
+    const std::uint32_t waiting = nonPreemptibleLoad >= slots ? nonPreemptibleLoad - slots + 1 : 0;
     // Items that can't be preempted keep their slots for seconds, so only the other slots become free at the rate of online requests.
-    const std::uint32_t turning = std::max(1U, slots - std::min(slots, engine.firm()));
-    return fromSeconds(meanRunSeconds_ * waiting / turning);
+    const std::uint32_t turnoverSlots = std::max(1U, slots - std::min(slots, engine.nonPreemptibleItems()));
+    return fromSeconds(meanRunSeconds_ * waiting / turnoverSlots);
 }
 
-EnginePick CapacityBoard::pickQuestion(std::string_view service, Duration bound, bool repeatable, std::span<const UpstreamId> tried, TimePoint now)
+EnginePick CapacityBoard::pickOnline(std::string_view service, Duration bound, bool repeatable, std::span<const UpstreamId> tried, TimePoint now)
 {
-    dropSilent(now);
+    expireReports(now);
     // Order of preference: a free slot in this cell, a slot in this cell after preempting a batch item, the same two in other cells of the
     // region, then in other regions, and last a short wait in an engine's queue.
     struct Best {
@@ -86,26 +86,26 @@
     Duration shortest = bound;
     for (const Candidate& candidate : candidates(service, repeatable, tried, now)) {
         const Engine& engine = *candidate.engine_;
-        const bool isNear = candidate.distance_ == Distance::Near;
+        const bool isSameCell = candidate.distance_ == Distance::SameCell;
         // Slots for which requests of another cell are queued are left to that cell.
-        const bool isOthers = !isNear && isWantedThere(engine, serviceId);
-        const bool isFree = !isOthers && engine.total(now) < engine.entry_.slots_;
-        const bool displaces = !isOthers && !isFree && engine.fixed(now) < engine.entry_.slots_;
-        const Duration cost = costOf(candidate.distance_);
-        const Duration wait = isFree || displaces ? cost : cost + engineWait(engine, now);
+        const bool isNeededByItsCell = !isSameCell && hasQueueInItsCell(engine, serviceId);
+        const bool isFree = !isNeededByItsCell && engine.total(now) < engine.entry_.slots_;
+        const bool preemptsBatch = !isNeededByItsCell && !isFree && engine.nonPreemptibleLoad(now) < engine.entry_.slots_;
+        const Duration extraLatency = extraLatencyOf(candidate.distance_);
+        const Duration wait = isFree || preemptsBatch ? extraLatency : extraLatency + predictEngineWait(engine, now);
         shortest = std::min(shortest, wait);
-        if (wait + settings_.firstEvent_ > bound)
+        if (wait + settings_.firstEventTime_ > bound)
             continue;
-        const PickKind kind = isFree ? PickKind::Free : displaces ? PickKind::Displaces
-                                                                  : PickKind::Queues;
+        const PickKind kind = isFree ? PickKind::Free : preemptsBatch ? PickKind::PreemptsBatch
+                                                                      : PickKind::Queues;
         constexpr std::uint64_t stageWeight = 1ULL << 32;
         constexpr std::uint64_t queueStage = 6;
         constexpr std::uint64_t otherDomain = 1;
         const auto distance = static_cast<std::uint64_t>(candidate.distance_);
-        const std::uint64_t stage = kind == PickKind::Queues ? queueStage + distance : 2 * distance + (displaces ? 1 : 0);
-        const std::uint64_t load = isFree ? freeRank(engine, candidate.distance_, now) : displaces ? engine.fixed(now)
-                                                                                                   : static_cast<std::uint64_t>(wait / 1ms);
-        const std::uint64_t rank = stage * stageWeight + load * 2 + (engine.entry_.domain_ == place_.domain_ ? 0 : otherDomain);
+        const std::uint64_t stage = kind == PickKind::Queues ? queueStage + distance : 2 * distance + (preemptsBatch ? 1 : 0);
+        const std::uint64_t load = isFree ? freeRank(engine, candidate.distance_, now) : preemptsBatch ? engine.nonPreemptibleLoad(now)
+                                                                                                       : static_cast<std::uint64_t>(wait / 1ms);
+        const std::uint64_t rank = stage * stageWeight + load * 2 + (engine.entry_.domain_ == location_.domain_ ? 0 : otherDomain);
         if (best.engine_ && rank >= best.rank_)
             continue;
         best = { &engine, rank };
@@ -123,7 +123,7 @@
 {
     const std::uint32_t total = engine.total(now);
     const std::uint32_t slots = engine.entry_.slots_;
-    if (distance == Distance::Near) {
+    if (distance == Distance::SameCell) {
         // One more request on an engine hardly slows down the others, so an open connection matters more than exact balance.
         constexpr std::uint64_t steps = 4; // load levels that are distinguished before the connection counts
         constexpr std::uint64_t stepWeight = 1ULL << 16;
@@ -138,23 +138,23 @@
 
 // ---- queued requests
 
-ServiceWaiting CapacityBoard::waitingAt(NodeId node, std::string_view service) const
+WaitingRequests CapacityBoard::waitingAt(NodeId node, std::string_view service) const
 {
     const auto id = idFromName<ServiceId>(service);
     const auto found = reports_.find(node);
     if (found == reports_.end())
         return { id };
     const auto& waiting = found->second.use_.waiting_;
-    const auto place = std::find_if(waiting.begin(), waiting.end(), [id](const ServiceWaiting& one) { return one.service_ == id; });
-    return place == waiting.end() ? ServiceWaiting { id } : *place;
+    const auto it = std::find_if(waiting.begin(), waiting.end(), [id](const WaitingRequests& one) { return one.service_ == id; });
+    return it == waiting.end() ? WaitingRequests { id } : *it;
 }
 
-ServiceWaiting CapacityBoard::allWaiting(std::string_view service) const
+WaitingRequests CapacityBoard::allWaiting(std::string_view service) const
 {
     const auto own = ownWaiting_.find(idFromName<ServiceId>(service));
-    ServiceWaiting all = own == ownWaiting_.end() ? ServiceWaiting() : own->second;
+    WaitingRequests all = own == ownWaiting_.end() ? WaitingRequests() : own->second;
     for (const auto& [node, report] : reports_) {
-        const ServiceWaiting there = waitingAt(node, service);
+        const WaitingRequests there = waitingAt(node, service);
         all.count_ += there.count_;
         all.inTime_ += there.inTime_;
     }
@@ -168,52 +168,52 @@
 // With n slots that online requests can use, a slot becomes free after 1/n of the mean run time. Non-preemptible items keep theirs.
 Duration CapacityBoard::queueWait(std::string_view service, TimePoint now) const
 {
-    std::uint32_t near = 0;
+    std::uint32_t ownCellSlots = 0;
     std::uint32_t all = 0;
     for (const auto& [id, engine] : engines_) {
         if (engine.entry_.service_ != service || !isUsable(engine, false, now))
             continue;
-        const std::uint32_t turning = engine.entry_.slots_ - std::min(engine.entry_.slots_, engine.firm());
-        all += turning;
-        near += engine.entry_.cell_ == place_.cell_ ? turning : 0;
+        const std::uint32_t turnoverSlots = engine.entry_.slots_ - std::min(engine.entry_.slots_, engine.nonPreemptibleItems());
+        all += turnoverSlots;
+        ownCellSlots += engine.entry_.cell_ == location_.cell_ ? turnoverSlots : 0;
     }
     // The slots of other cells go to the requests queued there, and this node learns too late that they are free. So they count only when
     // this cell has none.
-    const std::uint32_t slots = near > 0 ? near : all;
+    const std::uint32_t slots = ownCellSlots > 0 ? ownCellSlots : all;
     if (slots == 0)
-        return neverWait;
+        return noEngineWait;
     return fromSeconds(meanRunSeconds_ * (waitingInTime(service) + 1) / slots);
 }
 
-bool CapacityBoard::isQueueInTime(std::string_view service, Duration bound, TimePoint now) const
+bool CapacityBoard::canQueueInTime(std::string_view service, Duration bound, TimePoint now) const
 {
-    return queueWait(service, now) <= bound - settings_.firstEvent_;
+    return queueWait(service, now) <= bound - settings_.firstEventTime_;
 }
 
 // After a power failure of all nodes the engines continue the work that they had, and no node counts it. Without the ramp, workers filled
 // the seemingly free slots with batch items at once, and the online requests of the first seconds waited behind batch: of 2,900 requests
 // in two seconds only 310 met their target latency.
-std::uint32_t CapacityBoard::reserveOf(const Engine& engine, bool urgent, TimePoint now) const
+std::uint32_t CapacityBoard::batchReserveOf(const Engine& engine, bool urgent, TimePoint now) const
 {
     if (urgent)
         return 0;
     const Duration age = now - startedAt_;
     if (startedAt_ == TimePoint() || age >= settings_.batchRamp_)
         return settings_.batchReserve_;
-    const double rest = 1 - toSeconds(age) / toSeconds(settings_.batchRamp_);
-    return std::max(settings_.batchReserve_, static_cast<std::uint32_t>(std::ceil(rest * engine.entry_.slots_)));
+    const double rampRemaining = 1 - toSeconds(age) / toSeconds(settings_.batchRamp_);
+    return std::max(settings_.batchReserve_, static_cast<std::uint32_t>(std::ceil(rampRemaining * engine.entry_.slots_)));
 }
 
-std::uint32_t CapacityBoard::batchRoom(std::span<const Candidate> engines, bool urgent, TimePoint now) const
+std::uint32_t CapacityBoard::freeBatchSlots(std::span<const Candidate> engines, bool urgent, TimePoint now) const
 {
-    std::uint32_t room = 0;
+    std::uint32_t freeSlots = 0;
     for (const Candidate& candidate : engines) {
-        if (candidate.distance_ != Distance::Near)
+        if (candidate.distance_ != Distance::SameCell)
             continue;
-        const std::uint32_t taken = candidate.engine_->total(now) + reserveOf(*candidate.engine_, urgent, now);
-        room += candidate.engine_->entry_.slots_ - std::min(candidate.engine_->entry_.slots_, taken);
+        const std::uint32_t taken = candidate.engine_->total(now) + batchReserveOf(*candidate.engine_, urgent, now);
+        freeSlots += candidate.engine_->entry_.slots_ - std::min(candidate.engine_->entry_.slots_, taken);
     }
-    return room;
+    return freeSlots;
 }
 
 std::uint32_t CapacityBoard::itemsDueBefore(std::string_view service, TimePoint due) const
@@ -221,7 +221,7 @@
     const auto id = idFromName<ServiceId>(service);
     std::uint32_t count = 0;
     for (const auto& [node, report] : reports_) {
-        for (const ItemsWaiting& items : report.use_.items_) {
+        for (const WaitingItems& items : report.use_.items_) {
             if (items.service_ == id && report.at_ + items.dueIn_ < due)
                 count += items.count_;
         }
@@ -235,25 +235,25 @@
 // nodes.
 EnginePick CapacityBoard::pickBatch(std::string_view service, bool urgent, TimePoint due, std::span<const UpstreamId> tried, TimePoint now)
 {
-    dropSilent(now);
+    expireReports(now);
     // The next free slot goes to a queued online request.
     if (!urgent && waiting(service) > 0)
         return {};
     const std::vector<Candidate> engines = candidates(service, true, tried, now);
-    const bool mayUseNear = batchRoom(engines, urgent, now) > itemsDueBefore(service, due - settings_.dueStep_);
+    const bool mayUseOwnCell = freeBatchSlots(engines, urgent, now) > itemsDueBefore(service, due - settings_.priorityDueMargin_);
     const auto serviceId = idFromName<ServiceId>(service);
-    const std::map<CellId, std::uint32_t> rooms = surplus(engines, serviceId, urgent, now);
+    const std::map<CellId, std::uint32_t> spareSlots = spareBatchSlots(engines, serviceId, urgent, now);
     std::optional<std::uint64_t> bestRank;
     EnginePick pick;
     for (const Candidate& candidate : engines) {
         const Engine& engine = *candidate.engine_;
-        if (engine.total(now) + reserveOf(engine, urgent, now) >= engine.entry_.slots_)
+        if (engine.total(now) + batchReserveOf(engine, urgent, now) >= engine.entry_.slots_)
             continue;
-        const bool isNear = candidate.distance_ == Distance::Near;
-        if (isNear ? !mayUseNear : rooms.at(engine.entry_.cell_) == 0 || isWantedThere(engine, serviceId))
+        const bool isSameCell = candidate.distance_ == Distance::SameCell;
+        if (isSameCell ? !mayUseOwnCell : spareSlots.at(engine.entry_.cell_) == 0 || hasQueueInItsCell(engine, serviceId))
             continue;
         constexpr std::uint64_t distanceWeight = 1ULL << 32;
-        const std::uint64_t rank = static_cast<std::uint64_t>(candidate.distance_) * distanceWeight + freeRank(engine, candidate.distance_, now) * 2ULL + (engine.entry_.domain_ == place_.domain_ ? 0 : 1);
+        const std::uint64_t rank = static_cast<std::uint64_t>(candidate.distance_) * distanceWeight + freeRank(engine, candidate.distance_, now) * 2ULL + (engine.entry_.domain_ == location_.domain_ ? 0 : 1);
         if (bestRank && rank >= *bestRank)
             continue;
         bestRank = rank;
@@ -262,21 +262,21 @@
     return pick;
 }
 
-bool CapacityBoard::mustCedeItem(std::string_view service, TimePoint due, TimePoint now)
+bool CapacityBoard::mustYieldItem(std::string_view service, TimePoint due, TimePoint now)
 {
-    const std::uint32_t ahead = itemsDueBefore(service, due - settings_.cedeStep_);
-    return ahead > 0 && batchRoom(candidates(service, true, {}, now), false, now) < ahead;
+    const std::uint32_t ahead = itemsDueBefore(service, due - settings_.yieldDueMargin_);
+    return ahead > 0 && freeBatchSlots(candidates(service, true, {}, now), false, now) < ahead;
 }
 
 CapacityBoard::Usage CapacityBoard::usage(std::string_view service) const
 {
     Usage usage;
     for (const auto& [id, engine] : engines_) {
-        if (engine.entry_.service_ != service || engine.entry_.draining_ || engine.isOnTrial_)
+        if (engine.entry_.service_ != service || engine.entry_.draining_ || engine.isSuspect_)
             continue;
         usage.slots_ += engine.entry_.slots_;
-        usage.questions_ += engine.questions();
-        usage.batchItems_ += engine.batch();
+        usage.onlineRequests_ += engine.onlineRequests();
+        usage.batchItems_ += engine.batchItems();
     }
     return usage;
 }
@@ -286,7 +286,7 @@
     const auto found = engines_.find(engine);
     if (found == engines_.end())
         return { engine, 0, 0, 0 };
-    return { engine, static_cast<std::uint16_t>(found->second.questions()), static_cast<std::uint16_t>(found->second.batch()), static_cast<std::uint16_t>(found->second.firm()) };
+    return { engine, static_cast<std::uint16_t>(found->second.onlineRequests()), static_cast<std::uint16_t>(found->second.batchItems()), static_cast<std::uint16_t>(found->second.nonPreemptibleItems()) };
 }
 
 } // namespace jj
--- a/libs/capacity/src/WaitingQueue.cpp
+++ b/libs/capacity/src/WaitingQueue.cpp
@@ -9,19 +9,19 @@
 QueueTicket WaitingQueue::enter(std::string_view service, TimePoint inTimeUntil, TimePoint keepUntil)
 {
     const QueueTicket ticket(nextTicket_++);
-    waiters_[ticket] = { std::string(service), inTimeUntil, keepUntil };
+    queuedRequests_[ticket] = { std::string(service), inTimeUntil, keepUntil };
     return ticket;
 }
 
-void WaitingQueue::leave(QueueTicket ticket) { waiters_.erase(ticket); }
+void WaitingQueue::leave(QueueTicket ticket) { queuedRequests_.erase(ticket); }
 
 std::optional<QueueTicket> WaitingQueue::first(std::string_view service, TimePoint now) const
 {
     std::optional<QueueTicket> late;
-    for (const auto& [ticket, waiter] : waiters_) {
-        if (waiter.service_ != service)
+    for (const auto& [ticket, request] : queuedRequests_) {
+        if (request.service_ != service)
             continue;
-        if (now <= waiter.inTimeUntil_)
+        if (now <= request.inTimeUntil_)
             return ticket;
         if (!late)
             late = ticket;
@@ -32,8 +32,8 @@
 std::vector<QueueTicket> WaitingQueue::expired(TimePoint now) const
 {
     std::vector<QueueTicket> found;
-    for (const auto& [ticket, waiter] : waiters_) {
-        if (now > waiter.keepUntil_)
+    for (const auto& [ticket, request] : queuedRequests_) {
+        if (now > request.keepUntil_)
             found.push_back(ticket);
     }
     return found;
@@ -42,25 +42,25 @@
 std::vector<std::string> WaitingQueue::services() const
 {
     std::set<std::string> names;
-    for (const auto& [ticket, waiter] : waiters_)
-        names.insert(waiter.service_);
+    for (const auto& [ticket, request] : queuedRequests_)
+        names.insert(request.service_);
     return { names.begin(), names.end() };
 }
 
 std::uint16_t WaitingQueue::size(std::string_view service) const
 {
-    return static_cast<std::uint16_t>(std::count_if(waiters_.begin(), waiters_.end(), [service](const auto& entry) { return entry.second.service_ == service; }));
+    return static_cast<std::uint16_t>(std::count_if(queuedRequests_.begin(), queuedRequests_.end(), [service](const auto& entry) { return entry.second.service_ == service; }));
 }
 
 std::uint16_t WaitingQueue::inTime(std::string_view service, TimePoint now) const
 {
-    return static_cast<std::uint16_t>(std::count_if(waiters_.begin(), waiters_.end(), [&](const auto& entry) { return entry.second.service_ == service && now <= entry.second.inTimeUntil_; }));
+    return static_cast<std::uint16_t>(std::count_if(queuedRequests_.begin(), queuedRequests_.end(), [&](const auto& entry) { return entry.second.service_ == service && now <= entry.second.inTimeUntil_; }));
 }
 
 bool WaitingQueue::isInTime(QueueTicket ticket, TimePoint now) const
 {
-    const auto found = waiters_.find(ticket);
-    return found != waiters_.end() && now <= found->second.inTimeUntil_;
+    const auto found = queuedRequests_.find(ticket);
+    return found != queuedRequests_.end() && now <= found->second.inTimeUntil_;
 }
 
 } // namespace jj
--- a/libs/capacity/tests/BurstTest.cpp
+++ b/libs/capacity/tests/BurstTest.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t entries = 9;
 constexpr std::size_t engines = 6;
 constexpr std::size_t slots = 8;
-constexpr Duration objective = 300ms;
+constexpr Duration targetLatency = 300ms;
 constexpr Duration firstEvent = 25ms;
 constexpr Duration reportDelay = 2ms;
 constexpr Duration turnStep = 3ms;
@@ -32,28 +32,28 @@
 
 enum class Policy : std::uint8_t {
     EngineQueue, // the request is sent to the engine with the shortest predicted wait and is queued there in order of arrival
-    LineForItself, // it is queued at its entry for the first free slot of any engine, whether it is late or not
-    Line, // the same, but a late request yields to requests at other entries that can still be in time
+    EntryQueue, // it is queued at its entry for the first free slot of any engine, whether it is late or not
+    YieldingEntryQueue, // the same, but a late request yields to requests at other entries that can still be in time
 };
 
 struct Outcome {
-    int asked_ = 0;
+    int submitted_ = 0;
     int inTime_ = 0;
     int late_ = 0;
     int refused_ = 0;
-    double share() const { return static_cast<double>(inTime_) / asked_; }
+    double share() const { return static_cast<double>(inTime_) / submitted_; }
 };
 
-class Burst {
+class BurstSimulation {
 public:
-    Burst(Policy policy, std::uint64_t seed)
+    BurstSimulation(Policy policy, std::uint64_t seed)
         : policy_(policy)
         , random_(seed)
     {
         for (std::size_t entry = 0; entry < entries; ++entry) {
             CapacitySettings settings;
-            settings.assumedRun_ = meanRun;
-            boards_.push_back(std::make_unique<CapacityBoard>(settings, NodeId(entry + 1), HostPlace { CellId(1), RegionId(1), FailureDomainId(1) }, seed + entry));
+            settings.initialRunEstimate_ = meanRun;
+            boards_.push_back(std::make_unique<CapacityBoard>(settings, NodeId(entry + 1), HostLocation { CellId(1), RegionId(1), FailureDomainId(1) }, seed + entry));
             for (std::size_t engine = 0; engine < engines; ++engine) {
                 EngineEntry one;
                 one.id_ = UpstreamId(engine + 1);
@@ -75,7 +75,7 @@
         const TimePoint end = now_ + length;
         while (now_ < end) {
             now_ += 1ms;
-            hearReports();
+            deliverReports();
             endRuns();
             for (std::size_t entry = 0; entry < entries; ++entry) {
                 if (now_ >= turnAt_[entry]) {
@@ -96,32 +96,32 @@
     }
 
 private:
-    struct Question {
+    struct OnlineRequest {
         std::size_t entry_ = 0;
         TimePoint arrived_ {};
     };
     struct Run {
-        Question question_;
+        OnlineRequest request_;
         std::size_t engine_ = 0;
         TimePoint endsAt_ {};
     };
 
     void arrive(std::size_t entry)
     {
-        ++outcome_.asked_;
+        ++outcome_.submitted_;
         CapacityBoard& board = *boards_[entry];
-        const EnginePick pick = board.pickQuestion("s", objective, false, {}, now_);
+        const EnginePick pick = board.pickOnline("s", targetLatency, false, {}, now_);
         const bool isFree = pick.kind_ == PickKind::Free;
         if (policy_ == Policy::EngineQueue ? pick.isSome() : isFree && board.waiting("s") == 0)
             return send({ entry, now_ }, pick.engine_);
-        if (policy_ == Policy::EngineQueue || !board.isQueueInTime("s", objective, now_)) {
+        if (policy_ == Policy::EngineQueue || !board.canQueueInTime("s", targetLatency, now_)) {
             ++outcome_.refused_;
             return;
         }
-        const QueueTicket ticket = waitingQueues_[entry].enter("s", now_ + objective - firstEvent, now_ + 4 * objective);
-        waiters_[{ entry, ticket }] = { entry, now_ };
+        const QueueTicket ticket = waitingQueues_[entry].enter("s", now_ + targetLatency - firstEvent, now_ + 4 * targetLatency);
+        queuedRequests_[{ entry, ticket }] = { entry, now_ };
         board.setWaiting("s", waitingQueues_[entry].size("s"), waitingQueues_[entry].inTime("s", now_));
-        tell(entry);
+        sendReport(entry);
     }
 
     // Sends queued requests of the entry to free slots. `isOwnTurn`: the entry has waited for the entries ahead of it, or one of its own
@@ -130,33 +130,33 @@
     {
         CapacityBoard& board = *boards_[entry];
         while (const auto ticket = waitingQueues_[entry].first("s", now_)) {
-            const EnginePick pick = board.pickQuestion("s", 10s, false, {}, now_);
+            const EnginePick pick = board.pickOnline("s", 10s, false, {}, now_);
             if (pick.kind_ != PickKind::Free)
                 return;
-            const bool standsBack = policy_ == Policy::Line && !waitingQueues_[entry].isInTime(*ticket, now_) && board.waitingInTime("s") > 0;
-            const std::size_t ahead = entriesAhead(entry, pick.engine_, standsBack);
-            if (ahead > 0 && (!isOwnTurn || standsBack)) {
+            const bool yieldsToOthers = policy_ == Policy::YieldingEntryQueue && !waitingQueues_[entry].isInTime(*ticket, now_) && board.waitingInTime("s") > 0;
+            const std::size_t ahead = entriesAhead(entry, pick.engine_, yieldsToOthers);
+            if (ahead > 0 && (!isOwnTurn || yieldsToOthers)) {
                 if (turnAt_[entry] == neverTime)
                     turnAt_[entry] = now_ + turnStep * ahead;
                 return;
             }
-            const Question question = waiters_.at({ entry, *ticket });
-            waiters_.erase({ entry, *ticket });
+            const OnlineRequest request = queuedRequests_.at({ entry, *ticket });
+            queuedRequests_.erase({ entry, *ticket });
             waitingQueues_[entry].leave(*ticket);
             board.setWaiting("s", waitingQueues_[entry].size("s"), waitingQueues_[entry].inTime("s", now_));
-            send(question, pick.engine_);
+            send(request, pick.engine_);
         }
     }
 
     // Returns how many entries with queued requests are ahead of this one in the order for the engine. `yieldsToOthers`: all entries with
     // requests that can still be in time count as ahead.
-    std::size_t entriesAhead(std::size_t entry, UpstreamId engine, bool standsBack)
+    std::size_t entriesAhead(std::size_t entry, UpstreamId engine, bool yieldsToOthers)
     {
         std::size_t ahead = 0;
         for (std::size_t other = 0; other < entries; ++other) {
-            const ServiceWaiting waiting = boards_[entry]->waitingAt(NodeId(other + 1), "s");
+            const WaitingRequests waiting = boards_[entry]->waitingAt(NodeId(other + 1), "s");
             const bool isBefore = (other + engine.value()) % entries < (entry + engine.value()) % entries;
-            ahead += other != entry && ((isBefore && waiting.count_ > 0) || (standsBack && waiting.inTime_ > 0)) ? 1 : 0;
+            ahead += other != entry && ((isBefore && waiting.count_ > 0) || (yieldsToOthers && waiting.inTime_ > 0)) ? 1 : 0;
         }
         return ahead;
     }
@@ -165,17 +165,17 @@
     {
         for (const QueueTicket ticket : waitingQueues_[entry].expired(now_)) {
             waitingQueues_[entry].leave(ticket);
-            waiters_.erase({ entry, ticket });
+            queuedRequests_.erase({ entry, ticket });
             ++outcome_.refused_;
         }
         boards_[entry]->setWaiting("s", waitingQueues_[entry].size("s"), waitingQueues_[entry].inTime("s", now_));
     }
 
-    void send(const Question& question, UpstreamId engine)
+    void send(const OnlineRequest& request, UpstreamId engine)
     {
-        boards_[question.entry_]->started(engine, WorkClass::Question);
-        tell(question.entry_);
-        queues_[engine.value() - 1].push_back(question);
+        boards_[request.entry_]->started(engine, WorkClass::OnlineRequest);
+        sendReport(request.entry_);
+        queues_[engine.value() - 1].push_back(request);
         begin(engine.value() - 1);
     }
 
@@ -183,13 +183,13 @@
     void begin(std::size_t engine)
     {
         while (running_[engine] < slots && !queues_[engine].empty()) {
-            const Question question = queues_[engine].front();
+            const OnlineRequest request = queues_[engine].front();
             queues_[engine].pop_front();
             ++running_[engine];
-            const bool isInTime = now_ + firstEvent - question.arrived_ <= objective;
+            const bool isInTime = now_ + firstEvent - request.arrived_ <= targetLatency;
             ++(isInTime ? outcome_.inTime_ : outcome_.late_);
             const double seconds = std::normal_distribution<double>(toSeconds(meanRun), 0.25 * toSeconds(meanRun))(random_);
-            runs_.push_back({ question, engine, now_ + fromSeconds(std::clamp(seconds, 0.2, 1.3)) });
+            runs_.push_back({ request, engine, now_ + fromSeconds(std::clamp(seconds, 0.2, 1.3)) });
         }
     }
 
@@ -205,13 +205,13 @@
         for (const Run& run : ended) {
             --running_[run.engine_];
             begin(run.engine_);
-            boards_[run.question_.entry_]->ended(UpstreamId(run.engine_ + 1), WorkClass::Question);
-            serve(run.question_.entry_, true);
-            tell(run.question_.entry_);
+            boards_[run.request_.entry_]->ended(UpstreamId(run.engine_ + 1), WorkClass::OnlineRequest);
+            serve(run.request_.entry_, true);
+            sendReport(run.request_.entry_);
         }
     }
 
-    void tell(std::size_t entry)
+    void sendReport(std::size_t entry)
     {
         NodeUse use = boards_[entry]->ownUse(now_);
         use.node_ = NodeId(entry + 1);
@@ -220,14 +220,14 @@
         reports_.push_back({ now_ + reportDelay, std::move(use) });
     }
 
-    void hearReports()
+    void deliverReports()
     {
         while (!reports_.empty() && reports_.front().first <= now_) {
             const NodeUse use = std::move(reports_.front().second);
             reports_.pop_front();
             for (std::size_t entry = 0; entry < entries; ++entry) {
                 if (NodeId(entry + 1) != use.node_)
-                    boards_[entry]->heard(use, now_);
+                    boards_[entry]->applyReport(use, now_);
             }
         }
     }
@@ -238,8 +238,8 @@
     std::vector<std::unique_ptr<CapacityBoard>> boards_;
     std::vector<WaitingQueue> waitingQueues_;
     std::vector<TimePoint> turnAt_;
-    std::map<std::pair<std::size_t, QueueTicket>, Question> waiters_;
-    std::deque<Question> queues_[engines];
+    std::map<std::pair<std::size_t, QueueTicket>, OnlineRequest> queuedRequests_;
+    std::deque<OnlineRequest> queues_[engines];
     std::size_t running_[engines] = {};
     std::vector<Run> runs_;
     std::deque<std::pair<TimePoint, NodeUse>> reports_;
@@ -253,27 +253,27 @@
 // runs that had started together. Half of them were late, while slots became free on other engines.
 TEST_CASE("capacity: in bursts that exceed the slots, queues at the entries answer more requests in time than the engines' queues")
 {
-    Outcome queued;
-    Outcome lined;
+    Outcome engineQueued;
+    Outcome entryQueued;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        const Outcome one = Burst(Policy::EngineQueue, seed).run(24s);
-        const Outcome other = Burst(Policy::Line, seed).run(24s);
+        const Outcome one = BurstSimulation(Policy::EngineQueue, seed).run(24s);
+        const Outcome other = BurstSimulation(Policy::YieldingEntryQueue, seed).run(24s);
         CAPTURE(seed);
         CHECK(other.share() > one.share());
-        queued.asked_ += one.asked_;
-        queued.inTime_ += one.inTime_;
-        queued.late_ += one.late_;
-        queued.refused_ += one.refused_;
-        lined.asked_ += other.asked_;
-        lined.inTime_ += other.inTime_;
-        lined.late_ += other.late_;
-        lined.refused_ += other.refused_;
+        engineQueued.submitted_ += one.submitted_;
+        engineQueued.inTime_ += one.inTime_;
+        engineQueued.late_ += one.late_;
+        engineQueued.refused_ += one.refused_;
+        entryQueued.submitted_ += other.submitted_;
+        entryQueued.inTime_ += other.inTime_;
+        entryQueued.late_ += other.late_;
+        entryQueued.refused_ += other.refused_;
     }
-    MESSAGE("engines' queues: in time " << queued.share() << ", late " << queued.late_ << ", refused " << queued.refused_ << " of " << queued.asked_);
-    MESSAGE("queues at the entries: in time " << lined.share() << ", late " << lined.late_ << ", refused " << lined.refused_ << " of " << lined.asked_);
-    CHECK(lined.share() > queued.share() + 0.02);
-    CHECK(lined.late_ < queued.late_);
-    CHECK(lined.refused_ < queued.refused_);
+    MESSAGE("engines' queues: in time " << engineQueued.share() << ", late " << engineQueued.late_ << ", refused " << engineQueued.refused_ << " of " << engineQueued.submitted_);
+    MESSAGE("queues at the entries: in time " << entryQueued.share() << ", late " << entryQueued.late_ << ", refused " << entryQueued.refused_ << " of " << entryQueued.submitted_);
+    CHECK(entryQueued.share() > engineQueued.share() + 0.02);
+    CHECK(entryQueued.late_ < engineQueued.late_);
+    CHECK(entryQueued.refused_ < engineQueued.refused_);
 }
 
 // In a burst all nine entries have queued requests, some of them already late. When a late request took the slot that its own entry saw
@@ -281,11 +281,11 @@
 TEST_CASE("capacity: in bursts a late request doesn't take the slot of a request at another entry that can still be in time")
 {
     int inTime = 0;
-    int inTimeBehind = 0;
+    int inTimeYielding = 0;
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        inTime += Burst(Policy::LineForItself, seed).run(24s).inTime_;
-        inTimeBehind += Burst(Policy::Line, seed).run(24s).inTime_;
+        inTime += BurstSimulation(Policy::EntryQueue, seed).run(24s).inTime_;
+        inTimeYielding += BurstSimulation(Policy::YieldingEntryQueue, seed).run(24s).inTime_;
     }
-    MESSAGE("in time: separate queues " << inTime << ", late requests yield to other entries " << inTimeBehind);
-    CHECK(inTimeBehind > inTime);
+    MESSAGE("in time: separate queues " << inTime << ", late requests yield to other entries " << inTimeYielding);
+    CHECK(inTimeYielding > inTime);
 }
--- a/libs/capacity/tests/ItemOrderTest.cpp
+++ b/libs/capacity/tests/ItemOrderTest.cpp
@@ -25,22 +25,22 @@
 constexpr Duration tick = 20ms;
 constexpr Duration runTime = 4700ms;
 constexpr Duration runTarget = 18s;
-constexpr std::size_t startsPerTurn = 4;
+constexpr std::size_t maxStartsPerTick = 4;
 
 struct TestItem {
     TimePoint due_ {};
-    Duration left_ = runTime;
+    Duration remainingTime_ = runTime;
     UpstreamId engine_; // none while it is queued
 };
 
-class Workers {
+class WorkerSimulation {
 public:
-    Workers(bool reportItems, std::uint64_t seed)
+    WorkerSimulation(bool reportItems, std::uint64_t seed)
         : reportItems_(reportItems)
         , random_(seed)
     {
         for (std::size_t worker = 0; worker < workers; ++worker) {
-            boards_.push_back(std::make_unique<CapacityBoard>(CapacitySettings(), NodeId(worker + 1), HostPlace { CellId(1), RegionId(1), FailureDomainId(1) }, seed + worker));
+            boards_.push_back(std::make_unique<CapacityBoard>(CapacitySettings(), NodeId(worker + 1), HostLocation { CellId(1), RegionId(1), FailureDomainId(1) }, seed + worker));
             for (std::size_t engine = 0; engine < engines; ++engine) {
                 EngineEntry one;
                 one.id_ = UpstreamId(engine + 1);
@@ -59,24 +59,24 @@
     {
         const TimePoint end = now_ + length;
         TimePoint nextJob = now_;
-        TimePoint nextBunch = now_ + fromSeconds(std::uniform_real_distribution<double>(2, 8)(random_));
+        TimePoint nextJobBurst = now_ + fromSeconds(std::uniform_real_distribution<double>(2, 8)(random_));
         while (now_ < end + runTarget) {
             now_ += tick;
             if (now_ >= nextJob && now_ < end) {
                 addJobs(1, std::uniform_int_distribution<std::size_t>(1, 2)(random_));
                 nextJob += 4s;
             }
-            if (now_ >= nextBunch && now_ < end) {
+            if (now_ >= nextJobBurst && now_ < end) {
                 addJobs(6, 0);
-                nextBunch += 30s;
+                nextJobBurst += 30s;
             }
-            hearReports();
-            setQuestions();
-            work();
+            deliverReports();
+            setOnlineRequests();
+            runItems();
             for (std::size_t worker = 0; worker < workers; ++worker)
-                turn(worker);
+                scheduleItems(worker);
         }
-        return static_cast<double>(inTime_) / asked_;
+        return static_cast<double>(inTime_) / submitted_;
     }
 
 private:
@@ -85,31 +85,31 @@
         constexpr int itemsPerJob = 10;
         for (int item = 0; item < jobs * itemsPerJob; ++item) {
             items_[worker].push_back({ now_ + runTarget, runTime, UpstreamId::none() });
-            ++asked_;
+            ++submitted_;
         }
     }
 
     // Reports the online requests of one entry; at the start of a burst they preempt items.
-    void setQuestions()
+    void setOnlineRequests()
     {
         const bool isBurst = (now_ - TimePoint()) % 5800ms < 2400ms;
         const std::uint16_t perEngine = isBurst ? slots - 2 : 2;
         // The report is repeated, because the work of a node that stops reporting is dropped.
-        if (perEngine == questions_ && now_ - questionsReportedAt_ < 500ms)
+        if (perEngine == onlineRequests_ && now_ - onlineReportedAt_ < 500ms)
             return;
-        questions_ = perEngine;
-        questionsReportedAt_ = now_;
+        onlineRequests_ = perEngine;
+        onlineReportedAt_ = now_;
         NodeUse use;
         use.node_ = entryNode;
         for (std::size_t engine = 0; engine < engines; ++engine)
             use.uses_.push_back({ UpstreamId(engine + 1), perEngine, 0, 0 });
-        tell(std::move(use));
+        sendReport(std::move(use));
         for (std::size_t engine = 0; engine < engines; ++engine)
-            giveWay(UpstreamId(engine + 1));
+            preemptItems(UpstreamId(engine + 1));
     }
 
     // Preempts the items that are due last until the online requests fit on the engine.
-    void giveWay(UpstreamId engine)
+    void preemptItems(UpstreamId engine)
     {
         for (;;) {
             std::size_t running = 0;
@@ -126,7 +126,7 @@
                     }
                 }
             }
-            if (running + questions_ <= slots)
+            if (running + onlineRequests_ <= slots)
                 return;
             stop(owner, *last);
         }
@@ -139,19 +139,19 @@
         reportOwn(worker);
     }
 
-    void work()
+    void runItems()
     {
         for (std::size_t worker = 0; worker < workers; ++worker) {
             for (TestItem& item : items_[worker]) {
                 if (item.engine_.isNone())
                     continue;
-                item.left_ -= tick;
-                if (item.left_ > Duration::zero())
+                item.remainingTime_ -= tick;
+                if (item.remainingTime_ > Duration::zero())
                     continue;
                 inTime_ += now_ <= item.due_ ? 1 : 0;
                 stop(worker, item);
             }
-            std::erase_if(items_[worker], [](const TestItem& item) { return item.left_ <= Duration::zero(); });
+            std::erase_if(items_[worker], [](const TestItem& item) { return item.remainingTime_ <= Duration::zero(); });
         }
     }
 
@@ -159,18 +159,18 @@
     {
         TestItem* first = nullptr;
         for (TestItem& item : items_[worker]) {
-            const bool mayBeInTime = now_ + item.left_ / 2 < item.due_;
+            const bool mayBeInTime = now_ + item.remainingTime_ / 2 < item.due_;
             if (item.engine_.isNone() && mayBeInTime && (!first || item.due_ < first->due_))
                 first = &item;
         }
         return first;
     }
 
-    void turn(std::size_t worker)
+    void scheduleItems(std::size_t worker)
     {
         CapacityBoard& board = *boards_[worker];
-        cede(worker);
-        for (std::size_t start = 0; start < startsPerTurn; ++start) {
+        yieldItem(worker);
+        for (std::size_t start = 0; start < maxStartsPerTick; ++start) {
             TestItem* item = firstWaiting(worker);
             const EnginePick pick = item ? board.pickBatch("s", false, item->due_, {}, now_) : EnginePick {};
             if (!pick.isSome())
@@ -179,21 +179,21 @@
             board.started(pick.engine_, WorkClass::BatchItem);
             reportOwn(worker);
         }
-        const TestItem* waits = firstWaiting(worker);
+        const TestItem* nextItem = firstWaiting(worker);
         const auto count = std::count_if(items_[worker].begin(), items_[worker].end(), [](const TestItem& item) { return item.engine_.isNone(); });
-        const std::uint16_t reported = waits && reportItems_ ? static_cast<std::uint16_t>(count) : 0;
-        board.setItemsWaiting("s", reported, waits ? waits->due_ : TimePoint());
+        const std::uint16_t reported = nextItem && reportItems_ ? static_cast<std::uint16_t>(count) : 0;
+        board.setItemsWaiting("s", reported, nextItem ? nextItem->due_ : TimePoint());
         reportOwn(worker);
     }
 
-    void cede(std::size_t worker)
+    void yieldItem(std::size_t worker)
     {
         TestItem* last = nullptr;
         for (TestItem& item : items_[worker]) {
             if (!item.engine_.isNone() && (!last || item.due_ > last->due_))
                 last = &item;
         }
-        if (last && boards_[worker]->mustCedeItem("s", last->due_, now_))
+        if (last && boards_[worker]->mustYieldItem("s", last->due_, now_))
             stop(worker, *last);
     }
 
@@ -201,22 +201,22 @@
     {
         NodeUse use = boards_[worker]->ownUse(now_);
         use.node_ = NodeId(worker + 1);
-        tell(std::move(use));
+        sendReport(std::move(use));
     }
 
-    void tell(NodeUse use)
+    void sendReport(NodeUse use)
     {
         use.incarnation_ = Incarnation(1);
         use.sequence_ = ++sequence_;
         reports_.push_back({ now_ + reportDelay, std::move(use) });
     }
 
-    void hearReports()
+    void deliverReports()
     {
         for (; !reports_.empty() && reports_.front().first <= now_; reports_.pop_front()) {
             for (std::size_t worker = 0; worker < workers; ++worker) {
                 if (NodeId(worker + 1) != reports_.front().second.node_)
-                    boards_[worker]->heard(reports_.front().second, now_);
+                    boards_[worker]->applyReport(reports_.front().second, now_);
             }
         }
     }
@@ -227,10 +227,10 @@
     std::vector<std::unique_ptr<CapacityBoard>> boards_;
     std::vector<std::vector<TestItem>> items_;
     std::deque<std::pair<TimePoint, NodeUse>> reports_;
-    std::uint16_t questions_ = 0;
-    TimePoint questionsReportedAt_ {};
+    std::uint16_t onlineRequests_ = 0;
+    TimePoint onlineReportedAt_ {};
     std::uint32_t sequence_ = 0;
-    int asked_ = 0;
+    int submitted_ = 0;
     int inTime_ = 0;
 };
 
@@ -244,8 +244,8 @@
     double unordered = 0;
     constexpr int seeds = 4;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        unordered += Workers(false, seed).run(60s) / seeds;
-        ordered += Workers(true, seed).run(60s) / seeds;
+        unordered += WorkerSimulation(false, seed).run(60s) / seeds;
+        ordered += WorkerSimulation(true, seed).run(60s) / seeds;
     }
     MESSAGE("in time: no order among workers " << unordered << ", earliest due time first " << ordered);
     CHECK(ordered > unordered + 0.02);
@@ -263,24 +263,24 @@
     engine.slots_ = 4;
     board.upsert(engine);
     const TimePoint now { 10s };
-    const auto hear = [&](std::uint16_t count, std::uint16_t questions, std::uint32_t sequence) {
+    const auto receiveReport = [&](std::uint16_t count, std::uint16_t onlineRequests, std::uint32_t sequence) {
         NodeUse use;
         use.node_ = NodeId(2);
         use.incarnation_ = Incarnation(1);
         use.sequence_ = sequence;
-        use.uses_ = { { UpstreamId(1), questions, 0, 0 } };
+        use.uses_ = { { UpstreamId(1), onlineRequests, 0, 0 } };
         use.items_ = { { idFromName<ServiceId>("s"), count, 5s } };
-        board.heard(use, now);
+        board.applyReport(use, now);
     };
     const TimePoint later = now + 9s;
-    hear(2, 0, 1); // three slots are free besides the reserve
+    receiveReport(2, 0, 1); // three slots are free besides the reserve
     CHECK(board.pickBatch("s", false, later, {}, now).isSome());
-    hear(3, 0, 2);
+    receiveReport(3, 0, 2);
     CHECK_FALSE(board.pickBatch("s", false, later, {}, now).isSome());
     CHECK(board.pickBatch("s", false, now + 4s, {}, now).isSome());
     // A running item yields its slot only when the other items find too few free slots and are due much earlier.
-    CHECK_FALSE(board.mustCedeItem("s", later, now));
-    hear(3, 2, 3);
-    CHECK(board.mustCedeItem("s", later, now));
-    CHECK_FALSE(board.mustCedeItem("s", now + 7s, now));
+    CHECK_FALSE(board.mustYieldItem("s", later, now));
+    receiveReport(3, 2, 3);
+    CHECK(board.mustYieldItem("s", later, now));
+    CHECK_FALSE(board.mustYieldItem("s", now + 7s, now));
 }
--- a/libs/routes/include/routes/RouteTable.h
+++ b/libs/routes/include/routes/RouteTable.h
@@ -49,7 +49,7 @@
     RouteKind kind_ = RouteKind::Idempotent;
     Duration timeout_ = 30s; // the longest time that a caller waits for the answer
     Duration targetLatency_ = 1s; // until the answer; for streams until the first event; for jobs until the acknowledgement
-    Duration longestGap_ = 0s; // the target for the time between two events of a stream; zero: no target
+    Duration maxEventGap_ = 0s; // the target for the time between two events of a stream; zero: no target
     std::uint32_t priority_ = 0; // 0 is the most urgent
     std::uint32_t maxAttempts_ = 1; // engines on which one request may run; a retry by the caller counts as a new request
     bool resumable_ = false; // another engine can continue a stream after the last event that was sent
@@ -61,7 +61,7 @@
     bool isRepeatable() const { return kind_ == RouteKind::Idempotent || kind_ == RouteKind::Batch || (kind_ == RouteKind::Streaming && resumable_); }
 };
 
-struct ServiceTerms {
+struct RoutedService {
     std::string name_;
     std::string healthPath_;
     std::uint32_t maxConnections_ = 64; // accepted by one engine of the service, from all callers together
@@ -78,7 +78,7 @@
 struct RouteConfig {
     std::uint64_t version_ = 0; // increases with each configuration, not necessarily by one
     std::vector<Route> routes_;
-    std::vector<ServiceTerms> services_;
+    std::vector<RoutedService> services_;
     CallerLimits limits_;
 };
 
@@ -94,9 +94,9 @@
     // `target` may include a query, which is ignored.
     const Route* select(std::string_view host, std::string_view target) const;
     // Returns the batch route of the host with the longest prefix, or null when the host has no batch route.
-    const Route* batchRouteOf(std::string_view host) const;
-    const Route* byName(std::string_view name) const;
-    const ServiceTerms* service(std::string_view name) const;
+    const Route* findBatchRoute(std::string_view host) const;
+    const Route* findRoute(std::string_view name) const;
+    const RoutedService* service(std::string_view name) const;
 
     // Picks one of the route's services by weight. `draw` is any number that varies between requests; the same number always gives the
     // same service.
@@ -104,7 +104,7 @@
 
 private:
     explicit RouteTable(RouteConfig config);
-    void index();
+    void buildIndex();
 
     RouteConfig config_;
     // Invariant: for each host, the indexes of its routes in config_.routes_, longest prefix first.
--- a/libs/routes/src/RouteTable.cpp
+++ b/libs/routes/src/RouteTable.cpp
@@ -38,11 +38,11 @@
 
     std::string_view pathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
-    bool isPrefix(std::string_view prefix) { return !prefix.empty() && prefix.front() == '/' && prefix.back() == '/'; }
+    bool isValidPrefix(std::string_view prefix) { return !prefix.empty() && prefix.front() == '/' && prefix.back() == '/'; }
 
     Checked<void> checkRoute(const Route& route, const std::set<std::string_view>& services)
     {
-        if (!isPrefix(route.pathPrefix_))
+        if (!isValidPrefix(route.pathPrefix_))
             return Failure { RouteError::BadPrefix, route.name_ };
         if (totalWeight(route) == 0)
             return Failure { RouteError::NoTarget, route.name_ };
@@ -74,13 +74,13 @@
 RouteTable::RouteTable(RouteConfig config)
     : config_(std::move(config))
 {
-    index();
+    buildIndex();
 }
 
 Checked<RouteTable> RouteTable::create(RouteConfig config)
 {
     std::set<std::string_view> services;
-    for (const ServiceTerms& service : config.services_) {
+    for (const RoutedService& service : config.services_) {
         if (!services.insert(service.name_).second)
             return Failure { RouteError::DuplicateService, service.name_ };
     }
@@ -91,12 +91,12 @@
     return RouteTable(std::move(config));
 }
 
-void RouteTable::index()
+void RouteTable::buildIndex()
 {
-    for (std::size_t place = 0; place < config_.routes_.size(); ++place)
-        byHost_[hostName(config_.routes_[place].host_)].push_back(place);
-    for (auto& [host, places] : byHost_) {
-        std::stable_sort(places.begin(), places.end(), [this](std::size_t left, std::size_t right) {
+    for (std::size_t position = 0; position < config_.routes_.size(); ++position)
+        byHost_[hostName(config_.routes_[position].host_)].push_back(position);
+    for (auto& [host, positions] : byHost_) {
+        std::stable_sort(positions.begin(), positions.end(), [this](std::size_t left, std::size_t right) {
             return config_.routes_[left].pathPrefix_.size() > config_.routes_[right].pathPrefix_.size();
         });
     }
@@ -108,34 +108,34 @@
     if (found == byHost_.end())
         return nullptr;
     const std::string_view path = pathOf(target);
-    for (const std::size_t place : found->second) {
-        if (path.starts_with(config_.routes_[place].pathPrefix_))
-            return &config_.routes_[place];
+    for (const std::size_t position : found->second) {
+        if (path.starts_with(config_.routes_[position].pathPrefix_))
+            return &config_.routes_[position];
     }
     return nullptr;
 }
 
-const Route* RouteTable::batchRouteOf(std::string_view host) const
+const Route* RouteTable::findBatchRoute(std::string_view host) const
 {
     const auto found = byHost_.find(hostName(host));
     if (found == byHost_.end())
         return nullptr;
-    for (const std::size_t place : found->second) {
-        if (config_.routes_[place].kind_ == RouteKind::Batch)
-            return &config_.routes_[place];
+    for (const std::size_t position : found->second) {
+        if (config_.routes_[position].kind_ == RouteKind::Batch)
+            return &config_.routes_[position];
     }
     return nullptr;
 }
 
-const Route* RouteTable::byName(std::string_view name) const
+const Route* RouteTable::findRoute(std::string_view name) const
 {
     const auto found = std::find_if(config_.routes_.begin(), config_.routes_.end(), [name](const Route& route) { return route.name_ == name; });
     return found == config_.routes_.end() ? nullptr : &*found;
 }
 
-const ServiceTerms* RouteTable::service(std::string_view name) const
+const RoutedService* RouteTable::service(std::string_view name) const
 {
-    const auto found = std::find_if(config_.services_.begin(), config_.services_.end(), [name](const ServiceTerms& service) { return service.name_ == name; });
+    const auto found = std::find_if(config_.services_.begin(), config_.services_.end(), [name](const RoutedService& service) { return service.name_ == name; });
     return found == config_.services_.end() ? nullptr : &*found;
 }
 
--- a/libs/serving/src/Context.cpp
+++ b/libs/serving/src/Context.cpp
@@ -84,7 +84,7 @@
     if (text.empty())
         return;
     if (const auto load = translation_.readLoad_(text))
-        board_.observed(engine, load->running_, load->waiting_, now());
+        board_.applyEngineLoad(engine, load->running_, load->waiting_, now());
 }
 
 void Context::probe(UpstreamId engine)
@@ -101,7 +101,7 @@
             return;
         if (!response)
             return failed(engine, EngineFault::NotConnected, response.error());
-        board_.probed(engine);
+        board_.recordProbeSuccess(engine);
         suspects_.engineLives(engine);
         log_.line("engineProbed").with("engine", known->name_).with("status", response.value().status_);
     });
--- a/libs/serving/src/ItemRunner.cpp
+++ b/libs/serving/src/ItemRunner.cpp
@@ -90,7 +90,7 @@
         if (scheduler_.urgencyOf(id, now) == ItemUrgency::Relaxed && (!last || run->item_.due_ > last->item_.due_))
             last = run;
     }
-    if (!last || !context_.board_.mustCedeItem(last->service_, last->item_.due_, now))
+    if (!last || !context_.board_.mustYieldItem(last->service_, last->item_.due_, now))
         return;
     finish(last, RunEnd::GivenWay, "ceded");
 }
@@ -160,7 +160,7 @@
         if (run->status_ == statusMisdirected)
             context_.failed(run->engine_, EngineFault::NotConnected, {});
         else
-            context_.board_.refusedAsFull(run->engine_, context_.now());
+            context_.board_.recordFullRefusal(run->engine_, context_.now());
         return finish(run, RunEnd::GivenWay, "notExecuted");
     }
     // The item itself may be the cause of an error status, so the failure is not attributed to the engine.
@@ -215,7 +215,7 @@
             ++count;
     }
     for (const auto& [engine, count] : firm)
-        context_.board_.setFirm(engine, count);
+        context_.board_.setNonPreemptibleItems(engine, count);
 }
 
 bool ItemRunner::giveWay(UpstreamId engine, TimePoint now)
--- a/libs/serving/src/RelayAnswer.cpp
+++ b/libs/serving/src/RelayAnswer.cpp
@@ -105,7 +105,7 @@
     exchange_->respond(response);
     const bool isSuccess = head_.status_ < firstNonSuccess;
     if (isSuccess) {
-        context_.board_.measured(context_.now() - sentAt_);
+        context_.board_.recordRunTime(context_.now() - sentAt_);
         context_.metrics_.metrics_.observe(context_.metrics_.firstEvent_, toMilliseconds(context_.now() - arrived_));
     }
     context_.metrics_.metrics_.add(isSuccess ? context_.metrics_.answered_ : context_.metrics_.failed_);
@@ -122,7 +122,7 @@
     if (!scanner_.rest().empty())
         exchange_->write(scanner_.rest());
     exchange_->end();
-    context_.board_.measured(context_.now() - sentAt_);
+    context_.board_.recordRunTime(context_.now() - sentAt_);
     context_.metrics_.metrics_.add(context_.metrics_.answered_);
     line("answered").with("status", head_.status_).with("afterMs", context_.now() - arrived_).with("runs", runs_).with("lastEvent", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
     end();
@@ -134,7 +134,7 @@
     if (head_.status_ == misdirected)
         context_.failed(engine_, EngineFault::NotConnected, {});
     else
-        context_.board_.refusedAsFull(engine_, context_.now());
+        context_.board_.recordFullRefusal(engine_, context_.now());
     --runs_;
     leaveEngine();
     dispatch();
@@ -241,7 +241,7 @@
     if (call_)
         call_->cancel();
     call_ = nullptr;
-    context_.board_.ended(engine_, WorkClass::Question);
+    context_.board_.ended(engine_, WorkClass::OnlineRequest);
     engine_ = UpstreamId::none();
     context_.queue_->slotEnded();
     context_.fleet_->publishReport();
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -51,7 +51,7 @@
     id_ = request.headers_.find(context_.translation_.headers_.attemptId_);
     const Duration patience = deadlineOf(request, context_.translation_.headers_);
     deadline_ = arrived_ + std::min(patience, route_.timeout_);
-    hasReturned_ = context_.queue_->hasReturned(route_.name_, patience, arrived_);
+    hasReturned_ = context_.queue_->isProbableRetry(route_.name_, patience, arrived_);
     service_ = RouteTable::pickService(route_, hash64(id_));
     if (const std::string_view resume = request.headers_.find(context_.translation_.headers_.resumeAfter_); !resume.empty()) {
         std::uint64_t event = 0;
@@ -90,17 +90,17 @@
         return block();
     const TimePoint now = context_.now();
     const Duration bound = pickBound();
-    EnginePick pick = offers_ < mostOffers ? context_.board_.pickQuestion(service_, bound, route_.isRepeatable(), tried_, now) : EnginePick {};
+    EnginePick pick = offers_ < mostOffers ? context_.board_.pickOnline(service_, bound, route_.isRepeatable(), tried_, now) : EnginePick {};
     // A free slot goes to the requests that are already queued. If the queue is too long for this request to be served in time,
     // it must not take that slot either, because a queued request is about to take it.
-    const bool isFree = pick.kind_ == PickKind::Free || pick.kind_ == PickKind::Displaces;
+    const bool isFree = pick.kind_ == PickKind::Free || pick.kind_ == PickKind::PreemptsBatch;
     if (isFree && context_.board_.waiting(service_) == 0)
         return send(pick);
     if (offers_ < mostOffers && enqueue(bound))
         return;
     pick.wait_ = std::max(pick.wait_, context_.board_.queueWait(service_, now));
     const CapacityBoard::Usage usage = context_.board_.usage(service_);
-    line("noEngine").with("service", service_).with("offers", offers_).with("runs", runs_).with("slots", usage.slots_).with("questions", usage.questions_).with("batchItems", usage.batchItems_).with("waitMs", pick.wait_);
+    line("noEngine").with("service", service_).with("offers", offers_).with("runs", runs_).with("slots", usage.slots_).with("questions", usage.onlineRequests_).with("batchItems", usage.batchItems_).with("waitMs", pick.wait_);
     if (started_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
     refuse(usage.slots_ == 0 ? "noEngine" : "noSlotInTime", pick.wait_);
@@ -130,7 +130,7 @@
 bool RelayedRequest::enqueue(Duration bound)
 {
     const TimePoint now = context_.now();
-    const bool isWorthIt = hasReturned_ || context_.board_.isQueueInTime(service_, bound, now);
+    const bool isWorthIt = hasReturned_ || context_.board_.canQueueInTime(service_, bound, now);
     if (!isWorthIt || now >= keepUntil())
         return false;
     phase_ = Phase::Waiting;
@@ -138,7 +138,7 @@
     waiter.service_ = service_;
     waiter.repeatable_ = route_.isRepeatable();
     waiter.tried_ = tried_;
-    waiter.inTimeUntil_ = now + bound - context_.board_.settings().firstEvent_;
+    waiter.inTimeUntil_ = now + bound - context_.board_.settings().firstEventTime_;
     waiter.keepUntil_ = keepUntil();
     waiter.take_ = [self = shared_from_this()](const EnginePick& pick) {
         self->ticket_ = QueueTicket::none();
@@ -177,8 +177,8 @@
     rejected_ = false;
     body_.clear();
     scanner_.reset();
-    context_.board_.started(engine_, WorkClass::Question);
-    if (pick.kind_ == PickKind::Displaces) {
+    context_.board_.started(engine_, WorkClass::OnlineRequest);
+    if (pick.kind_ == PickKind::PreemptsBatch) {
         context_.metrics_.metrics_.add(context_.metrics_.displaced_);
         slotAsks_ = 0;
         askForSlot();
@@ -199,7 +199,7 @@
         outgoing.headers_.add(names.resumeAfter_, std::to_string(*lastEvent_));
     static constexpr std::string_view kinds[] = { "none", "free", "displaces", "queues" };
     const EngineUse use = context_.board_.useOf(engine_);
-    line("sent").with("engine", entry->name_).with("pick", kinds[static_cast<std::size_t>(pick.kind_)]).with("offer", offers_).with("questions", use.questions_).with("batchItems", use.batchItems_).with("sinceArrivalMs", sentAt_ - arrived_).with("resumeAfter", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
+    line("sent").with("engine", entry->name_).with("pick", kinds[static_cast<std::size_t>(pick.kind_)]).with("offer", offers_).with("questions", use.onlineRequests_).with("batchItems", use.batchItems_).with("sinceArrivalMs", sentAt_ - arrived_).with("resumeAfter", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
     http::CallOptions options;
     options.idle_ = route_.isRepeatable() && isStream() ? std::min(resumableSilence, left()) : left() + 1s;
     options.echoName_ = names.attemptId_;
@@ -218,7 +218,7 @@
 // to mostSlotAsks times, until the engine responds.
 void RelayedRequest::askForSlot()
 {
-    const auto holders = context_.board_.batchHolders(engine_);
+    const auto holders = context_.board_.nodesRunningBatch(engine_);
     if (holders.empty() || slotAsks_ >= mostSlotAsks)
         return;
     context_.fleet_->giveWay(holders[slotAsks_ % holders.size()], engine_);
--- a/libs/serving/src/ReportMessages.cpp
+++ b/libs/serving/src/ReportMessages.cpp
@@ -21,7 +21,7 @@
     constexpr std::size_t mostNodes = 64;
     constexpr std::size_t mostCells = 64;
     // Upper bounds for the sizes on the wire, which follow from the fields serialized below. They serve to pack digests into frames.
-    // serviceBytes covers both ServiceWaiting and ItemsWaiting.
+    // serviceBytes covers both WaitingRequests and WaitingItems.
     constexpr std::size_t summaryBytes = 64;
     constexpr std::size_t useBytes = 14;
     constexpr std::size_t idBytes = 8;
@@ -36,7 +36,7 @@
     void cutToLimits(NodeUse& use)
     {
         cut(use.uses_, mostUses);
-        cut(use.shunned_, mostShunned);
+        cut(use.failingEngines_, mostShunned);
         cut(use.waiting_, mostServices);
         cut(use.items_, mostServices);
     }
@@ -48,7 +48,7 @@
         cut(digest.cells_, mostCells);
         for (CellSummary& cell : digest.cells_) {
             cut(cell.use_.uses_, mostUses);
-            cut(cell.use_.shunned_, mostShunned);
+            cut(cell.use_.failingEngines_, mostShunned);
             cut(cell.use_.waiting_, mostServices);
             cut(cell.use_.items_, mostServices);
             cut(cell.nodes_, mostNodes);
@@ -57,7 +57,7 @@
 
     std::size_t bytesOf(const CellSummary& cell)
     {
-        return summaryBytes + cell.use_.uses_.size() * useBytes + cell.use_.shunned_.size() * idBytes + (cell.use_.waiting_.size() + cell.use_.items_.size()) * serviceBytes + cell.nodes_.size() * nodeBytes;
+        return summaryBytes + cell.use_.uses_.size() * useBytes + cell.use_.failingEngines_.size() * idBytes + (cell.use_.waiting_.size() + cell.use_.items_.size()) * serviceBytes + cell.nodes_.size() * nodeBytes;
     }
 
 } // namespace
@@ -68,17 +68,17 @@
 template <class Archive>
 void serialize(Archive& archive, EngineUse& use)
 {
-    archive(use.engine_, use.questions_, use.batchItems_, use.firmItems_);
+    archive(use.engine_, use.onlineRequests_, use.batchItems_, use.nonPreemptibleItems_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ServiceWaiting& waiting)
+void serialize(Archive& archive, WaitingRequests& waiting)
 {
     archive(waiting.service_, waiting.count_, waiting.inTime_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ItemsWaiting& waiting)
+void serialize(Archive& archive, WaitingItems& waiting)
 {
     archive(waiting.service_, waiting.count_, Milliseconds { waiting.dueIn_ });
 }
@@ -87,7 +87,7 @@
 void serialize(Archive& archive, NodeUse& use)
 {
     archive(use.node_, use.incarnation_, use.sequence_);
-    archive(list<mostUses>(use.uses_), list<mostShunned>(use.shunned_), list<mostServices>(use.waiting_), list<mostServices>(use.items_));
+    archive(list<mostUses>(use.uses_), list<mostShunned>(use.failingEngines_), list<mostServices>(use.waiting_), list<mostServices>(use.items_));
 }
 
 template <class Archive>
@@ -107,7 +107,7 @@
 void serialize(Archive& archive, CellUse& use)
 {
     archive(use.cell_, use.delegate_);
-    archive(list<mostUses>(use.uses_), list<mostShunned>(use.shunned_), list<mostServices>(use.waiting_), list<mostServices>(use.items_));
+    archive(list<mostUses>(use.uses_), list<mostShunned>(use.failingEngines_), list<mostServices>(use.waiting_), list<mostServices>(use.items_));
 }
 
 template <class Archive>
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -208,13 +208,13 @@
     handlers.ownCell_ = [this] { return board_.ownCell(context_.now()); };
     handlers.onReport_ = [this](const NodeReport& report, bool isMate) {
         if (isMate) {
-            board_.heard(report.use_, context_.now());
+            board_.applyReport(report.use_, context_.now());
             queue_->mayHaveRoom();
         }
         versionsHeard({ report.configVersion_, report.enginesVersion_ });
     };
     handlers.onCell_ = [this](const CellSummary& summary, TimePoint at) {
-        board_.heardCell(summary.use_, at);
+        board_.applyCellReport(summary.use_, at);
         queue_->mayHaveRoom();
         versionsHeard({ summary.configVersion_, summary.enginesVersion_ });
     };
@@ -231,7 +231,7 @@
         context_.suspects_.learned(mark, remaining, context_.now());
     };
     handlers.onGone_ = [this](NodeId node) {
-        board_.forget(node);
+        board_.dropNodeReport(node);
         // A node that runs no jobs owns none, so its loss requires no scan.
         const Peer* peer = fleet_->peer(node);
         if (peer && !peer->runsJobs_)
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -84,7 +84,7 @@
 
 void ServingNode::Parts::probeEngines(TimePoint now)
 {
-    const auto due = board_.dueForProbe(now);
+    const auto due = board_.enginesDueForProbe(now);
     for (const UpstreamId engine : due) {
         if (!probing_.insert(engine).second)
             continue;
@@ -140,7 +140,7 @@
     if (!table)
         return exchange->respond(refusal(translation_, 503, "config.None", "this node has no configuration yet", RunState::NotRun, notReadyRetry));
     const std::string_view host = request.headers_.find("Host");
-    if (auto call = translation_.readJobCall_(request); call && table->batchRouteOf(host))
+    if (auto call = translation_.readJobCall_(request); call && table->findBatchRoute(host))
         return jobs_->call(std::move(exchange), std::move(*call));
     const Route* route = table->select(host, request.target_);
     if (!route) {
@@ -221,7 +221,7 @@
 {
     if (runner_->giveWay(ask.engine_, context_.now()) || ask.isPassedOn_)
         return;
-    for (const NodeId holder : board_.batchHolders(ask.engine_)) {
+    for (const NodeId holder : board_.nodesRunningBatch(ask.engine_)) {
         const auto& mates = fleet_->mates();
         if (std::find(mates.begin(), mates.end(), holder) != mates.end())
             return fleet_->passOnGiveWay(ask, holder);
--- a/libs/serving/src/SlotQueue.cpp
+++ b/libs/serving/src/SlotQueue.cpp
@@ -84,8 +84,8 @@
     Waiter& waiter = waiters_.at(*ticket);
     // Accepts any free slot, even if the request will be late. The bound only affects waiting in an engine's own queue, which is
     // not accepted here.
-    const EnginePick pick = context_.board_.pickQuestion(service, waiter.keepUntil_ - now, waiter.repeatable_, waiter.tried_, now);
-    if (pick.kind_ != PickKind::Free && pick.kind_ != PickKind::Displaces)
+    const EnginePick pick = context_.board_.pickOnline(service, waiter.keepUntil_ - now, waiter.repeatable_, waiter.tried_, now);
+    if (pick.kind_ != PickKind::Free && pick.kind_ != PickKind::PreemptsBatch)
         return false;
     const bool isInTime = queue_.isInTime(*ticket, now);
     // A late request must not take its own node's freed slot while a request that can still be in time waits on another node: in
@@ -109,7 +109,7 @@
     const std::uint64_t own = mixHash(engine.value(), context_.fleet_->self().value());
     const std::vector<NodeId>& mates = context_.fleet_->mates();
     return static_cast<std::size_t>(std::count_if(mates.begin(), mates.end(), [&](NodeId node) {
-        const ServiceWaiting waiting = context_.board_.waitingAt(node, service);
+        const WaitingRequests waiting = context_.board_.waitingAt(node, service);
         const bool isBefore = mixHash(engine.value(), node.value()) < own;
         return isInTime ? waiting.inTime_ > 0 && isBefore : waiting.inTime_ > 0 || (waiting.count_ > 0 && isBefore);
     }));
@@ -129,9 +129,9 @@
 
 Duration SlotQueue::refused(const std::string& service, Duration wait, TimePoint now)
 {
-    FullPhases& phases = phases_[service];
+    OverloadPredictor& phases = phases_[service];
     phases.refused(now);
-    return std::max(wait, phases.remaining(now));
+    return std::max(wait, phases.retryDelay(now));
 }
 
 } // namespace jj
--- a/libs/serving/src/SlotQueue.h
+++ b/libs/serving/src/SlotQueue.h
@@ -14,8 +14,8 @@
 #pragma once
 
 #include "Context.h"
-#include "capacity/CallerPatience.h"
-#include "capacity/FullPhases.h"
+#include "capacity/OverloadPredictor.h"
+#include "capacity/RetryDetector.h"
 #include "capacity/WaitingQueue.h"
 
 #include <boost/asio/steady_timer.hpp>
@@ -52,7 +52,7 @@
     // Records a refused online request and returns the delay after which its caller should retry, at least `wait`.
     Duration refused(const std::string& service, Duration wait, TimePoint now);
     // Returns whether the caller of a new online request was probably refused before.
-    bool hasReturned(const std::string& route, Duration timeLeft, TimePoint now) { return patience_.hasReturned(route, timeLeft, now); }
+    bool isProbableRetry(const std::string& route, Duration timeLeft, TimePoint now) { return patience_.isProbableRetry(route, timeLeft, now); }
 
 private:
     // Assigns free slots. `isOwnSlot`: this node freed the slot or its turn has come, so its requests don't wait for the turns of
@@ -69,8 +69,8 @@
     Context& context_;
     WaitingQueue queue_;
     std::map<QueueTicket, Waiter> waiters_;
-    std::map<std::string, FullPhases> phases_;
-    CallerPatience patience_;
+    std::map<std::string, OverloadPredictor> phases_;
+    RetryDetector patience_;
     boost::asio::steady_timer timer_;
     bool timerArmed_ = false;
     bool pumping_ = false;
--- a/libs/serving/tests/ExchangeFleet.h
+++ b/libs/serving/tests/ExchangeFleet.h
@@ -154,7 +154,7 @@
     void build(Node& node, std::size_t place)
     {
         node.peers_ = std::make_unique<PeerTable>(node.self_.region_);
-        node.board_ = std::make_unique<CapacityBoard>(CapacitySettings(), node.self_.node_, HostPlace { CellId::none(), node.self_.region_, node.self_.domain_ }, place);
+        node.board_ = std::make_unique<CapacityBoard>(CapacitySettings(), node.self_.node_, HostLocation { CellId::none(), node.self_.region_, node.self_.domain_ }, place);
         node.exchange_ = std::make_unique<ReportExchange>(node.self_, *node.peers_, outletsOf(node, place));
     }
 
@@ -172,11 +172,11 @@
         outlets.ownCell_ = [this, &node] { return node.board_->ownCell(now_); };
         outlets.onReport_ = [this, &node, place](const NodeReport& report, bool isMate) {
             if (isMate)
-                node.board_->heard(report.use_, now_);
+                node.board_->applyReport(report.use_, now_);
             hear(place, { report.configVersion_, report.enginesVersion_ });
         };
         outlets.onCell_ = [this, &node, place](const CellSummary& summary, TimePoint at) {
-            node.board_->heardCell(summary.use_, at);
+            node.board_->applyCellReport(summary.use_, at);
             hear(place, { summary.configVersion_, summary.enginesVersion_ });
         };
         outlets.onCellsChanged_ = [this, &node] { placeEngines(node); };
@@ -279,9 +279,9 @@
             return;
         const UpstreamId id = engine(std::uniform_int_distribution<std::size_t>(0, shape_.engines_ - 1)(random_));
         if (ownQuestions(node, id) > 0)
-            node.board_->ended(id, WorkClass::Question);
+            node.board_->ended(id, WorkClass::OnlineRequest);
         else
-            node.board_->started(id, WorkClass::Question);
+            node.board_->started(id, WorkClass::OnlineRequest);
         node.exchange_->publish();
     }
 
@@ -289,7 +289,7 @@
     {
         for (const EngineUse& use : node.board_->ownUse(now_).uses_) {
             if (use.engine_ == engine)
-                return use.questions_;
+                return use.onlineRequests_;
         }
         return 0;
     }
--- a/libs/serving/tests/ReportExchangeTest.cpp
+++ b/libs/serving/tests/ReportExchangeTest.cpp
@@ -37,7 +37,7 @@
         const std::uint32_t questions = fleet.questionsOn(engine);
         for (std::size_t at = 0; at < fleet.size(); ++at) {
             if (!fleet.node(at).isCut_)
-                CHECK(fleet.node(at).board_->useOf(engine).questions_ == questions);
+                CHECK(fleet.node(at).board_->useOf(engine).onlineRequests_ == questions);
         }
     }
 }
@@ -98,12 +98,12 @@
         else if (changed == fleet.size() && node.exchange_->ownCell() == cell && node.exchange_->cells().delegates(cell).back() != node.self_.node_)
             changed = place;
     }
-    fleet.node(changed).board_->started(fleet.engine(1), WorkClass::Question);
+    fleet.node(changed).board_->started(fleet.engine(1), WorkClass::OnlineRequest);
     fleet.node(changed).exchange_->publish();
     fleet.advance(1500ms);
     for (std::size_t place = 0; place < fleet.size(); ++place) {
         if (!fleet.node(place).isCut_)
-            CHECK(fleet.node(place).board_->useOf(fleet.engine(1)).questions_ == 1);
+            CHECK(fleet.node(place).board_->useOf(fleet.engine(1)).onlineRequests_ == 1);
     }
 }
 
