--- a/libs/ledger/include/ledger/Acceptor.h
+++ b/libs/ledger/include/ledger/Acceptor.h
@@ -31,7 +31,7 @@
     NotAccepted, // the store holds nothing from which the job could run, now or later
     Unknown, // an answer of the store is missing, so the job may have been accepted
     Invalid,
-    Kept, // copies are on the disks of enough hosts, which upload the job to the store (JobIntake.h)
+    Spooled, // copies are on the disks of enough hosts, which upload the job to the store (JobIntake.h)
 };
 std::string_view toString(AcceptOutcome outcome);
 
--- a/libs/ledger/include/ledger/JobIntake.h
+++ b/libs/ledger/include/ledger/JobIntake.h
@@ -8,7 +8,7 @@
 // write the same objects and create them only if absent. A job is refused as "not run" only if neither path can have stored anything.
 #pragma once
 
-#include "ledger/KeptJob.h"
+#include "ledger/SpooledJob.h"
 
 #include <functional>
 #include <list>
@@ -20,10 +20,10 @@
 struct IntakeSettings {
     // If the store hasn't answered after this time, the job is also sent to other hosts for spooling. Slow answers of the store take about
     // 240 ms, spooling a job takes about 30 ms between regions, and callers expect an acknowledgement within 400 ms.
-    Duration keepAfter_ = 250ms;
+    Duration spoolAfter_ = 250ms;
     // If a host hasn't answered a spool request after this time, another host is asked in its place. The host may be down without having
     // been detected as dead yet.
-    Duration spareAfter_ = 80ms;
+    Duration replaceHostAfter_ = 80ms;
 };
 
 struct IntakeAnswer {
@@ -35,17 +35,17 @@
 
 struct IntakeOutlets {
     LedgerStore store_;
-    std::function<bool()> storeIsAway_;
+    std::function<bool()> isStoreUnavailable_;
     // Chooses the hosts that spool one job, as many as there must be copies. Excludes `unanswered`, the hosts that haven't answered
     // their spool requests. Returns an empty list if too few hosts are available.
-    std::function<std::vector<NodeId>(const std::vector<NodeId>& silent)> keepers_;
-    std::function<void(NodeId, KeptJob, std::function<void(KeepOutcome, TimePoint now)>)> keep_;
+    std::function<std::vector<NodeId>(const std::vector<NodeId>& unanswered)> chooseReplicas_;
+    std::function<void(NodeId, SpooledJob, std::function<void(SpoolOutcome, TimePoint now)>)> requestSpooling_;
     // Tells a host to delete its copy of a job, because the store now holds the job.
-    std::function<void(NodeId, const JobName&)> forget_;
+    std::function<void(NodeId, const JobName&)> discardCopy_;
     // Returns the node that should own a job accepted now.
     std::function<NodeId(const JobName&)> ownerOf_;
     // Notifies the job's owner that the store has accepted the job.
-    std::function<void(const JobName&, const Acceptance&)> accepted_;
+    std::function<void(const JobName&, const Acceptance&)> notifyOwner_;
 };
 
 class JobIntake {
@@ -59,22 +59,22 @@
     void tick(TimePoint now);
 
 private:
-    struct Taking;
-    using TakingPtr = std::shared_ptr<Taking>;
+    struct PendingJob;
+    using PendingJobPtr = std::shared_ptr<PendingJob>;
 
-    void keep(const TakingPtr& taking, TimePoint now);
-    void askKeepers(const TakingPtr& taking, const std::vector<NodeId>& keepers);
-    void replaceSilent(const TakingPtr& taking);
-    void stored(const TakingPtr& taking, const Acceptance& acceptance, TimePoint now);
-    void decide(const TakingPtr& taking, TimePoint now);
-    void answer(const TakingPtr& taking, AcceptOutcome outcome, TimePoint now);
-    void forgetCopies(const TakingPtr& taking);
+    void startSpooling(const PendingJobPtr& pending, TimePoint now);
+    void sendToReplicas(const PendingJobPtr& pending, const std::vector<NodeId>& replicas);
+    void replaceUnansweredHosts(const PendingJobPtr& pending);
+    void applyStoreOutcome(const PendingJobPtr& pending, const Acceptance& acceptance, TimePoint now);
+    void decide(const PendingJobPtr& pending, TimePoint now);
+    void answer(const PendingJobPtr& pending, AcceptOutcome outcome, TimePoint now);
+    void discardCopies(const PendingJobPtr& pending);
 
     IntakeSettings settings_;
     IntakeOutlets outlets_;
     Acceptor acceptor_;
-    std::list<TakingPtr> waiting_; // jobs that wait for the store and haven't been sent to other hosts; oldest first
-    std::list<TakingPtr> keeping_; // jobs whose unanswered spool requests haven't been replaced yet; oldest first
+    std::list<PendingJobPtr> awaitingStore_; // jobs that wait for the store and haven't been sent to other hosts; oldest first
+    std::list<PendingJobPtr> awaitingReplicas_; // jobs whose unanswered spool requests haven't been replaced yet; oldest first
 };
 
 } // namespace jj
--- a/libs/ledger/include/ledger/JobScheduler.h
+++ b/libs/ledger/include/ledger/JobScheduler.h
@@ -4,7 +4,7 @@
 //     scheduler.adopt(transfer, now, wall);                       // this node is the owner of an accepted job
 //     while (auto run = scheduler.startNext(service, now)) ...    // the most urgent waiting item
 //     scheduler.event(run->id_, eventId, data);                   // an event of the run's stream
-//     scheduler.ended(run->id_, RunEnd::Completed, now);
+//     scheduler.ended(run->id_, RunResult::Completed, now);
 //     scheduler.read(job, after, wait, force, now, done);
 //     scheduler.tick(now, wall);
 //
@@ -39,45 +39,45 @@
 struct SchedulerSettings {
     // Results that finish within a commit window share a result page, unless they complete the job. The window is this fraction of the time
     // left until the job is due, at most commitWindow_. On average it delays a result by half its length; it never delays the last result.
-    double commitPart_ = 0.2;
+    double commitFraction_ = 0.2;
     Duration commitWindow_ = 2s;
     // Within this time before the job is due, each result is committed at once.
     Duration dueMargin_ = 1s;
-    // Delay before an item is retried after a failed run. It doubles with each further failure, up to longestRetry_.
-    Duration firstRetry_ = 100ms;
-    Duration longestRetry_ = 4s;
+    // Delay before an item is retried after a failed run. It doubles with each further failure, up to maxRetryDelay_.
+    Duration initialRetryDelay_ = 100ms;
+    Duration maxRetryDelay_ = 4s;
     // Timeout of store calls that no caller waits for; long enough for them to survive an outage.
-    Duration patience_ = std::chrono::minutes(10);
+    Duration backgroundTimeout_ = std::chrono::minutes(10);
     // Timeout of a read that has to query the store.
-    Duration readBound_ = 1s;
+    Duration readTimeout_ = 1s;
     // Items that are missing from the store after this time will not arrive, because their submission was abandoned.
-    Duration itemsBound_ = 10s;
+    Duration itemsTimeout_ = 10s;
     // An item is urgent if the time until it is due is less than the rest of its run plus this margin. A commit takes about 300 ms, and
     // slots become free and occupied in bursts of seconds.
     Duration urgentMargin_ = 2500ms;
     // An item can't finish in time if the time left is less than this fraction of the rest of its run.
-    double hopelessPart_ = 0.7;
+    double infeasibleFraction_ = 0.7;
     // A longer gap between two ticks means that the process was paused and that other nodes may have taken over its jobs.
-    Duration pauseBound_ = 1s;
+    Duration pauseThreshold_ = 1s;
     // While this node may have been replaced, an answer of the store is valid for reads for this time, counted from the sending of the
     // query. A result that one node has returned must be known to all others one second later. Callers read every 500 ms, so every second
     // read queries the store.
-    Duration trustedFor_ = 900ms;
+    Duration confirmationLifetime_ = 900ms;
     // Delay before a failed store operation is retried.
-    Duration storeRetry_ = 500ms;
+    Duration storeRetryDelay_ = 500ms;
     // After its start, a pause, or being considered dead, a node may for this time have been replaced as the owner of a job that it now
     // receives. Detection and takeover take about three seconds.
-    Duration newcomer_ = 10s;
+    Duration replacementWindow_ = 10s;
     // After this time all nodes that can reach this process have noticed its start. The process then rewrites the heads of its jobs, and
     // no longer queries the store before reads.
-    Duration knownAfter_ = 4s;
+    Duration announcedAfter_ = 4s;
     // Wall clocks differ between hosts and may jump, so items are abandoned and objects removed only after this additional time.
     Duration clockSlack_ = 5s;
     // A completed or cancelled job without reads is dropped from memory after this time, and is loaded from the store again when needed.
-    Duration keepIdle_ = 20s;
+    Duration idleTimeout_ = 20s;
     // The objects of a job that is no longer open are removed this long after the job was accepted.
     Duration retention_ = 150s;
-    std::size_t answerBytes_ = 900 * 1024; // limit for the results in one answer; an answer contains at least one result if there is one
+    std::size_t maxAnswerBytes_ = 900 * 1024; // limit for the results in one answer; an answer contains at least one result if there is one
 };
 
 struct ItemRun {
@@ -100,25 +100,25 @@
     Late, // can't finish in time; runs after all others
 };
 
-enum class RunEnd : std::uint8_t {
+enum class RunResult : std::uint8_t {
     Completed, // all events and the end of the answer were received
-    GivenWay, // by an online request, or before the run started; resumes after the last event received
-    Broken, // the engine or the connection was lost; resumes after the last event received
-    OutOfStep, // the run didn't resume after the requested event; starts over
+    Preempted, // by an online request, or before the run started; resumes after the last event received
+    Interrupted, // the engine or the connection was lost; resumes after the last event received
+    ResumeMismatch, // the run didn't resume after the requested event; starts over
     Failed, // the engine reported an error of its own
-    Impossible, // the engine reported that the item can never succeed
-    RouteGone, // no configuration routes the item any more
+    Unprocessable, // the engine reported that the item can never succeed
+    RouteRemoved, // no configuration routes the item any more
 };
 
 enum class ReadOutcome : std::uint8_t {
     Found,
     Missing, // there is no such job
-    Unsure, // the store doesn't answer now
-    Elsewhere, // owned by another node, which owner_ names
+    Unavailable, // the store doesn't answer now
+    OtherOwner, // owned by another node, which owner_ names
 };
 
 struct ReadAnswer {
-    ReadOutcome outcome_ = ReadOutcome::Unsure;
+    ReadOutcome outcome_ = ReadOutcome::Unavailable;
     NodeId owner_;
     std::uint32_t total_ = 0;
     std::uint32_t next_ = 0;
@@ -126,13 +126,13 @@
 };
 
 struct BodyAnswer {
-    ReadOutcome outcome_ = ReadOutcome::Unsure;
+    ReadOutcome outcome_ = ReadOutcome::Unavailable;
     NodeId owner_;
     std::string body_; // decoded
 };
 
-struct EndAnswer {
-    ReadOutcome outcome_ = ReadOutcome::Unsure;
+struct CancelAnswer {
+    ReadOutcome outcome_ = ReadOutcome::Unavailable;
     NodeId owner_;
 };
 
@@ -159,13 +159,13 @@
 enum class SchedulerNote : std::uint8_t {
     Adopted,
     TakenOver,
-    Lost, // the head names another owner
+    OwnershipLost, // the head names another owner
     Listed, // results were committed
-    ConflictMet, // another owner had already written the result page
+    PageConflict, // another owner had already written the result page
     ItemErrored,
     ItemRetried,
     JobDone,
-    JobEnded,
+    JobCancelled,
     JobVoid,
     HandedOver,
     Removed,
@@ -195,8 +195,8 @@
     // route matches the item.
     std::function<std::optional<std::string>(std::string_view host, std::string_view path)> serviceOf_;
     // Whether some host may hold a spooled job that isn't in the store yet. While this is true, a read of a job that isn't in the store is
-    // answered with Unsure instead of Missing.
-    std::function<bool()> mayBeKept_;
+    // answered with Unavailable instead of Missing.
+    std::function<bool()> mayBeSpooled_;
     // Whether other nodes may have replaced this one without its noticing.
     std::function<bool()> mayBeReplaced_;
 };
@@ -205,19 +205,19 @@
 public:
     using ReadDone = std::function<void(ReadAnswer)>;
     using BodyDone = std::function<void(BodyAnswer)>;
-    using EndDone = std::function<void(EndAnswer)>;
+    using CancelDone = std::function<void(CancelAnswer)>;
 
     JobScheduler(SchedulerSettings settings, SchedulerOutlets outlets);
     ~JobScheduler();
 
     // ---- location of a job, from its head in the store
-    struct Place {
-        ReadOutcome outcome_ = ReadOutcome::Unsure;
+    struct JobLocation {
+        ReadOutcome outcome_ = ReadOutcome::Unavailable;
         NodeId owner_;
         JobState state_ = JobState::Open;
         std::uint32_t total_ = 0;
     };
-    void locate(const JobName& name, TimePoint now, std::function<void(const Place&)> done);
+    void locate(const JobName& name, TimePoint now, std::function<void(const JobLocation&)> done);
 
     // ---- ownership
     void adopt(JobTransfer job, TimePoint now, WallTime wall);
@@ -229,10 +229,10 @@
     void beginLeaving(TimePoint now);
     // Hands over open jobs whose preferred owner is another node. This node owns such jobs because it lacked current information when it
     // accepted them.
-    void passOn(TimePoint now);
+    void handOverMisplaced(TimePoint now);
     bool hasLeft() const;
     // Makes this node confirm the ownership of all open jobs in the store, because it was paused or considered dead.
-    void suspectAll(TimePoint now);
+    void recheckOwnership(TimePoint now);
 
     // ---- runs
     // Returns the most urgent item that waits for the service and marks it as running; nullopt if none waits.
@@ -246,7 +246,7 @@
     };
     std::map<std::string, Waiting> waiting(TimePoint now);
     void event(RunId run, std::uint64_t eventId, std::string_view data);
-    void ended(RunId run, RunEnd end, TimePoint now);
+    void ended(RunId run, RunResult end, TimePoint now);
     ItemUrgency urgencyOf(RunId run, TimePoint now) const;
     // Sets the duration of a complete, uninterrupted run, as recently measured.
     void setRunTime(Duration time) { runTime_ = time; }
@@ -255,14 +255,14 @@
     void read(const JobName& job, std::uint32_t after, Duration wait, bool force, TimePoint now, ReadDone done);
     void body(const JobName& job, const std::string& item, bool force, TimePoint now, BodyDone done);
     // Cancels the job.
-    void end(const JobName& job, bool force, TimePoint now, EndDone done);
+    void end(const JobName& job, bool force, TimePoint now, CancelDone done);
 
     // Handles the mark of a job that was cancelled bypassing its owner.
-    void endMarked(const JobName& job, TimePoint now);
+    void handleCancelMark(const JobName& job, TimePoint now);
 
     void tick(TimePoint now, WallTime wall);
     std::size_t openJobs() const;
-    std::size_t heldJobs() const { return jobs_.size(); }
+    std::size_t loadedJobs() const { return jobs_.size(); }
 
 private:
     struct Item;
@@ -273,7 +273,7 @@
     };
     using JobPtr = std::shared_ptr<Job>;
 
-    Job* owned(const JobName& name);
+    Job* findOwnedJob(const JobName& name);
     void note(SchedulerNote note, std::string_view job, std::string_view item = {}, std::uint64_t count = 0, std::error_code error = {}) const;
     void store(ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { outlets_.store_(std::move(call), callClass, until, std::move(done)); }
     TimePoint dueAt(const JobHead& head, TimePoint now, WallTime wall) const;
@@ -283,47 +283,47 @@
     void loadItems(const JobPtr& job, std::uint32_t page, TimePoint now);
     void loadResults(const JobPtr& job, std::uint32_t page, TimePoint now);
     void fence(const JobPtr& job, TimePoint now);
-    void loaded(const JobPtr& job, TimePoint now);
+    void finishLoading(const JobPtr& job, TimePoint now);
     void makeVoid(const JobPtr& job, TimePoint now);
     void applyResults(const JobPtr& job, std::vector<JobResult> results);
-    void consider(const JobName& name, const JobHead& head, ObjectVersion version, TimePoint now);
+    void handleListedHead(const JobName& name, const JobHead& head, ObjectVersion version, TimePoint now);
     void listHeads(std::string after, bool stale, TimePoint now);
     void takeOver(const JobName& name, TimePoint now);
     void claim(const JobName& name, JobHead head, ObjectVersion version, TimePoint now);
-    void refresh(const JobPtr& job, TimePoint now, std::function<void(bool known, TimePoint)> then);
+    void refresh(const JobPtr& job, TimePoint now, std::function<void(bool isOwner, TimePoint)> then);
     void drop(const JobName& name);
 
     // Results
     void finishItem(const JobPtr& job, std::size_t item, ResultState state, TimePoint now);
     void commitIfDue(const JobPtr& job, TimePoint now);
     void commit(const JobPtr& job, TimePoint now);
-    void committed(const JobPtr& job, const SettledAnswer& answer, TimePoint now);
-    void settleConflict(const JobPtr& job, TimePoint now);
+    void finishCommit(const JobPtr& job, const SettledAnswer& answer, TimePoint now);
+    void resolveConflict(const JobPtr& job, TimePoint now);
     void setState(const JobPtr& job, JobState state, TimePoint now, std::function<void(bool, TimePoint)> then);
     void completeIfDone(const JobPtr& job, TimePoint now);
     void stopRuns(const JobPtr& job, bool keepText);
-    void noticePause(TimePoint now);
+    void detectPause(TimePoint now);
     // Whether this node may have been replaced without noticing, because it started or was unavailable recently.
-    bool wasAway(TimePoint now) const;
-    bool wasPaused(TimePoint now) const;
-    bool isNewcomer(TimePoint now) const { return now - firstUse_ < settings_.newcomer_; }
+    bool wasRecentlyUnavailable(TimePoint now) const;
+    bool wasRecentlyPaused(TimePoint now) const;
+    bool isRecentlyStarted(TimePoint now) const { return now - startedAt_ < settings_.replacementWindow_; }
     bool mayHaveBeenReplaced(const Job& job, TimePoint now) const;
     void confirmOwnership(const JobPtr& job, TimePoint now);
     void abandonOverdue(const JobPtr& job, TimePoint now);
     ItemUrgency urgencyOf(const Job& job, const Item& item, TimePoint now) const;
-    void learnStretch(const Item& item, TimePoint now);
+    void updateMeanStretch(const Item& item, TimePoint now);
 
     // Reads
     void answerReaders(const JobPtr& job, TimePoint now, bool all);
     ReadAnswer slice(const Job& job, std::uint32_t after) const;
     void readOwned(const JobPtr& job, std::uint32_t after, Duration wait, TimePoint now, ReadDone done);
     void readFromStore(const JobName& name, const JobHead& head, std::uint32_t after, TimePoint now, const ReadDone& done);
-    void lookUp(const JobName& name, TimePoint now, std::function<void(ReadOutcome, const JobHead&, ObjectVersion, TimePoint)> then);
-    void writeEnd(const JobPtr& job, TimePoint now);
-    static void answerEnders(const JobPtr& job, const EndAnswer& answer);
-    void answerLateEnders(const JobPtr& job, TimePoint now);
-    void markEnd(const JobName& name, TimePoint until, const EndDone& done);
-    void endInStore(const JobName& name, TimePoint now, TimePoint until, EndDone done);
+    void readHead(const JobName& name, TimePoint now, std::function<void(ReadOutcome, const JobHead&, ObjectVersion, TimePoint)> then);
+    void writeCancellation(const JobPtr& job, TimePoint now);
+    static void answerCancelRequests(const JobPtr& job, const CancelAnswer& answer);
+    void answerTimedOutCancelRequests(const JobPtr& job, TimePoint now);
+    void writeCancelMark(const JobName& name, TimePoint until, const CancelDone& done);
+    void cancelInStore(const JobName& name, TimePoint now, TimePoint until, CancelDone done);
 
     // Handover
     void handOver(const JobPtr& job, TimePoint now);
@@ -334,9 +334,9 @@
     std::map<JobName, JobPtr> jobs_; // the jobs that this node believes it owns
     std::unordered_map<RunId, Running> runs_;
     std::uint64_t nextRun_ = 1;
-    std::map<JobName, TimePoint> claiming_; // takeovers in progress, so that two scans don't start the same one twice
-    TimePoint firstUse_ {}; // start of the process
-    TimePoint awayAt_ {}; // when this node last was found to have been paused or considered dead
+    std::map<JobName, TimePoint> pendingTakeovers_; // takeovers in progress, so that two scans don't start the same one twice
+    TimePoint startedAt_ {}; // start of the process
+    TimePoint lastUnavailableAt_ {}; // when this node last was found to have been paused or considered dead
     TimePoint lastTick_ {};
     WallTime wall_ {};
     Duration runTime_ = 5s;
--- a/libs/ledger/include/ledger/JobSpool.h
+++ b/libs/ledger/include/ledger/JobSpool.h
@@ -1,14 +1,14 @@
-// Spools jobs on this host's disk until the store holds them (see KeptJob).
+// Spools jobs on this host's disk until the store holds them (see SpooledJob).
 //
 //     JobSpool<FileDisk> spool(std::move(disk), settings, outlets);
 //     spool.load(now);                       // copies that an earlier process left
-//     spool.storeCopy(job, now);             // the copy is durable if this returns Kept
+//     spool.storeCopy(job, now);             // the copy is durable if this returns Spooled
 //     spool.tick(now, wall);                 // uploads the copies to the store
 //
 // The disk is a template parameter: the daemon uses files, tests use memory that survives the end of a simulated process.
 #pragma once
 
-#include "ledger/KeptJob.h"
+#include "ledger/SpooledJob.h"
 
 #include <algorithm>
 #include <concepts>
@@ -39,42 +39,42 @@
 
 struct SpoolSettings {
     // Limit for all copies together. Beyond it a job is refused, and the sender asks another host.
-    std::size_t mostBytes_ = 32U * 1024 * 1024;
+    std::size_t maxBytes_ = 32U * 1024 * 1024;
     // Delay before the first upload. The entry's own calls may still bring the job to the store; in nearly all cases they finish, and the
     // entry notifies this host, within this time.
-    Duration firstTry_ = 1500ms;
+    Duration firstUploadDelay_ = 1500ms;
     // Delay between the first uploads of the hosts that spool the same job.
-    Duration rankStep_ = 1s;
-    Duration retryAfter_ = 500ms;
+    Duration rankDelay_ = 1s;
+    Duration retryDelay_ = 500ms;
     // Timeout of one upload.
-    Duration bound_ = 2s;
-    std::size_t mostAtOnce_ = 4;
+    Duration uploadTimeout_ = 2s;
+    std::size_t maxConcurrentUploads_ = 4;
     // Copies older than this are dropped unread. The job may already have completed and been removed from the store, so that an upload
     // would run it a second time. Callers have stopped waiting long before. The value equals SchedulerSettings::retention_.
     Duration retention_ = 150s;
 };
 
 enum class SpoolNote : std::uint8_t {
-    Kept,
+    Spooled,
     Refused, // the spool is full, or the disk failed
     Stored, // this host uploaded the job to the store
-    Known, // the store already held the job
-    Forgotten, // the entry reported that the store holds the job
-    Outdated, // dropped because the copy is older than the retention
+    AlreadyStored, // the store already held the job
+    Discarded, // the entry reported that the store holds the job
+    Expired, // dropped because the copy is older than the retention
     // dropped: the write was never acknowledged or the disk is damaged. Without a job name: the disk's names can't be read.
     Unreadable,
-    TriedInVain,
+    UploadFailed,
 };
 std::string_view toString(SpoolNote note);
 
 struct SpoolOutlets {
     LedgerStore store_;
-    std::function<bool()> storeIsAway_;
+    std::function<bool()> isStoreUnavailable_;
     std::function<NodeId(const JobName&)> ownerOf_;
-    std::function<void(const JobName&, const Acceptance&)> accepted_;
+    std::function<void(const JobName&, const Acceptance&)> notifyOwner_;
     std::function<void(SpoolNote, const JobName&, std::error_code)> note_;
     // Called when the number of spooled jobs has changed.
-    std::function<void()> changed_;
+    std::function<void()> sizeChanged_;
 };
 
 template <SpoolDisk Disk>
@@ -95,126 +95,126 @@
             return outlets_.note_(SpoolNote::Unreadable, {}, names.error());
         for (const std::string& name : names.value()) {
             const auto text = disk_.read(name);
-            const auto job = text ? decodeKept(text.value()) : Result<KeptJob>(text.error());
+            const auto job = text ? decodeSpooledJob(text.value()) : Result<SpooledJob>(text.error());
             if (!job) {
                 const auto removed = disk_.remove(name);
                 outlets_.note_(SpoolNote::Unreadable, name, removed ? job.error() : removed.error());
                 continue;
             }
             bytes_ += text.value().size();
-            held_[name] = { text.value().size(), now + settings_.rankStep_ * job.value().rank_, false };
+            copies_[name] = { text.value().size(), now + settings_.rankDelay_ * job.value().rank_, false };
         }
-        outlets_.changed_();
+        outlets_.sizeChanged_();
     }
 
     // Writes a copy of the job to the disk. Idempotent: a job that is already spooled is not written again.
-    KeepOutcome keep(const KeptJob& job, TimePoint now)
+    SpoolOutcome storeCopy(const SpooledJob& job, TimePoint now)
     {
         const JobName& name = job.submission_.job_;
-        if (held_.contains(name))
-            return KeepOutcome::Kept;
+        if (copies_.contains(name))
+            return SpoolOutcome::Spooled;
         const std::string text = encode(job);
-        if (bytes_ + text.size() > settings_.mostBytes_) {
+        if (bytes_ + text.size() > settings_.maxBytes_) {
             outlets_.note_(SpoolNote::Refused, name, std::make_error_code(std::errc::no_space_on_device));
-            return KeepOutcome::Refused;
+            return SpoolOutcome::Refused;
         }
         if (const auto written = disk_.write(name, text); !written) {
             outlets_.note_(SpoolNote::Refused, name, written.error());
             // The disk may hold the complete text although the write failed. A later process would load it and upload the refused job.
-            return disk_.remove(name) ? KeepOutcome::Refused : KeepOutcome::Unknown;
+            return disk_.remove(name) ? SpoolOutcome::Refused : SpoolOutcome::Unknown;
         }
         bytes_ += text.size();
-        held_[name] = { text.size(), now + settings_.firstTry_ + settings_.rankStep_ * job.rank_, false };
-        outlets_.note_(SpoolNote::Kept, name, {});
-        outlets_.changed_();
-        return KeepOutcome::Kept;
+        copies_[name] = { text.size(), now + settings_.firstUploadDelay_ + settings_.rankDelay_ * job.rank_, false };
+        outlets_.note_(SpoolNote::Spooled, name, {});
+        outlets_.sizeChanged_();
+        return SpoolOutcome::Spooled;
     }
 
-    void forget(const JobName& name)
+    void discardCopy(const JobName& name)
     {
-        if (held_.contains(name))
-            drop(name, SpoolNote::Forgotten, {});
+        if (copies_.contains(name))
+            drop(name, SpoolNote::Discarded, {});
     }
 
     void tick(TimePoint now, WallTime wall)
     {
-        if (held_.empty() || outlets_.storeIsAway_())
+        if (copies_.empty() || outlets_.isStoreUnavailable_())
             return;
         std::vector<JobName> due;
-        for (const auto& [name, held] : held_) {
-            if (!held.isTrying_ && now >= held.tryAt_)
+        for (const auto& [name, copy] : copies_) {
+            if (!copy.isUploading_ && now >= copy.nextUploadAt_)
                 due.push_back(name);
         }
         for (const JobName& name : due) {
-            if (trying_ < settings_.mostAtOnce_)
-                bring(name, now, wall);
+            if (uploads_ < settings_.maxConcurrentUploads_)
+                upload(name, now, wall);
         }
     }
 
-    std::size_t size() const { return held_.size(); }
+    std::size_t size() const { return copies_.size(); }
 
 private:
-    struct Held {
+    struct Copy {
         std::size_t bytes_ = 0;
-        TimePoint tryAt_ {};
-        bool isTrying_ = false;
+        TimePoint nextUploadAt_ {};
+        bool isUploading_ = false;
     };
 
-    void bring(const JobName& name, TimePoint now, WallTime wall)
+    void upload(const JobName& name, TimePoint now, WallTime wall)
     {
         const auto text = disk_.read(name);
-        auto job = text ? decodeKept(text.value()) : Result<KeptJob>(text.error());
+        auto job = text ? decodeSpooledJob(text.value()) : Result<SpooledJob>(text.error());
         if (!job)
             return drop(name, SpoolNote::Unreadable, job.error());
         JobSubmission& submission = job.value().submission_;
         const WallTime acceptedAt = submission.head_.acceptedAt_;
         if (wall - acceptedAt > settings_.retention_)
-            return drop(name, SpoolNote::Outdated, {});
-        held_.at(name).isTrying_ = true;
-        ++trying_;
+            return drop(name, SpoolNote::Expired, {});
+        copies_.at(name).isUploading_ = true;
+        ++uploads_;
         const NodeId owner = outlets_.ownerOf_(name);
-        acceptor_.accept(std::move(submission), owner, settings_.bound_, now, acceptedAt, [this, name](const Acceptance& acceptance, TimePoint at) { tried(name, acceptance, at); });
+        acceptor_.accept(std::move(submission), owner, settings_.uploadTimeout_, now, acceptedAt, [this, name](const Acceptance& acceptance, TimePoint at) { finishUpload(name, acceptance, at); });
     }
 
-    void tried(const JobName& name, const Acceptance& acceptance, TimePoint now)
+    void finishUpload(const JobName& name, const Acceptance& acceptance, TimePoint now)
     {
-        --trying_;
+        --uploads_;
         if (acceptance.outcome_ == AcceptOutcome::Accepted)
-            outlets_.accepted_(name, acceptance);
-        const auto held = held_.find(name);
-        if (held == held_.end())
+            outlets_.notifyOwner_(name, acceptance);
+        const auto copy = copies_.find(name);
+        if (copy == copies_.end())
             return; // removed during the upload
-        held->second.isTrying_ = false;
-        held->second.tryAt_ = now + settings_.retryAfter_;
+        copy->second.isUploading_ = false;
+        copy->second.nextUploadAt_ = now + settings_.retryDelay_;
         switch (acceptance.outcome_) {
         case AcceptOutcome::Accepted:
             return drop(name, SpoolNote::Stored, {});
         case AcceptOutcome::AlreadyAccepted:
-            return drop(name, SpoolNote::Known, {});
+            return drop(name, SpoolNote::AlreadyStored, {});
         case AcceptOutcome::Invalid:
             return drop(name, SpoolNote::Unreadable, acceptance.failure_.code_);
         default:
-            return outlets_.note_(SpoolNote::TriedInVain, name, {});
+            return outlets_.note_(SpoolNote::UploadFailed, name, {});
         }
     }
 
     void drop(const JobName& name, SpoolNote note, std::error_code error)
     {
-        bytes_ -= held_.at(name).bytes_;
-        held_.erase(name);
+        bytes_ -= copies_.at(name).bytes_;
+        copies_.erase(name);
         // If a power loss brings the deleted copy back, its upload finds the job in the store and changes nothing.
         const auto removed = disk_.remove(name);
         outlets_.note_(note, name, removed ? error : removed.error());
-        outlets_.changed_();
+        outlets_.sizeChanged_();
     }
 
     Disk disk_;
     SpoolSettings settings_;
     SpoolOutlets outlets_;
     Acceptor acceptor_;
-    std::map<JobName, Held> held_;
-    std::size_t bytes_ = 0; // of all copies in held_
-    std::size_t trying_ = 0;
+    std::map<JobName, Copy> copies_;
+    std::size_t bytes_ = 0; // of all copies in copies_
+    std::size_t uploads_ = 0;
 };
 
 } // namespace jj
--- a/libs/ledger/include/ledger/Records.h
+++ b/libs/ledger/include/ledger/Records.h
@@ -23,9 +23,9 @@
 
 namespace jj {
 
-// The id that the caller chose for the job. A valid id can be part of a store key: [A-Za-z0-9._-], at most longestJobName characters.
+// The id that the caller chose for the job. A valid id can be part of a store key: [A-Za-z0-9._-], at most maxJobNameLength characters.
 using JobName = std::string;
-constexpr std::size_t longestJobName = 128;
+constexpr std::size_t maxJobNameLength = 128;
 bool isValidJobName(std::string_view name);
 
 enum class LedgerError : int {
@@ -40,7 +40,7 @@
 
 enum class JobState : std::uint8_t {
     Open,
-    Ended, // by its caller; no further results are needed
+    Cancelled, // by its caller; no further results are needed
     Done, // all results are listed
     Void, // never accepted, because some of its items didn't arrive
 };
@@ -84,11 +84,11 @@
 };
 
 inline constexpr std::string_view headKind = "jobs/";
-inline constexpr std::string_view endMarkKind = "job-ends/";
+inline constexpr std::string_view cancelMarkKind = "job-ends/";
 std::string headKey(std::string_view job);
-std::string endMarkKey(std::string_view job);
+std::string cancelMarkKey(std::string_view job);
 // Returns the job of a mark's key, or an empty name if the key isn't a mark's.
-std::string_view jobOfEndMark(std::string_view key);
+std::string_view jobOfCancelMark(std::string_view key);
 std::string itemPageKey(std::string_view job, std::uint32_t page);
 std::string resultPageKey(std::string_view job, std::uint32_t page);
 // Returns the job of a head's key, or an empty name if the key isn't a head's.
@@ -104,7 +104,7 @@
 Result<std::vector<JobResult>> decodeResults(std::string_view text);
 
 // Splits the items into pages that each fit into one object. Errors: NoItems, DuplicateItem, ItemTooLarge.
-Checked<std::vector<std::vector<JobItem>>> paged(std::vector<JobItem> items);
+Checked<std::vector<std::vector<JobItem>>> splitIntoPages(std::vector<JobItem> items);
 
 // Decodes standard base64 with padding. Error: BadRecord.
 Result<std::string> fromBase64(std::string_view text);
--- a/libs/ledger/include/ledger/KeptJob.h
+++ b/libs/ledger/include/ledger/SpooledJob.h
@@ -14,22 +14,22 @@
 
 namespace jj {
 
-struct KeptJob {
+struct SpooledJob {
     JobSubmission submission_; // its head contains the time at which the entry accepted the job
     // Rank of this host among the hosts that spool the job. They upload the job one after the other in this order, so that usually only the
     // first one makes calls to the store.
     std::uint32_t rank_ = 0;
 };
 
-enum class KeepOutcome : std::uint8_t {
-    Kept,
+enum class SpoolOutcome : std::uint8_t {
+    Spooled,
     Refused, // the host has not spooled the job
     Unknown, // no answer: the host may have spooled the job
 };
 
 // Encodes the job as text with a checksum, so that the remainder of a write that was interrupted by a power loss doesn't decode.
-std::string encode(const KeptJob& job);
+std::string encode(const SpooledJob& job);
 // Decodes such a text. Error: BadRecord.
-Result<KeptJob> decodeKept(std::string_view text);
+Result<SpooledJob> decodeSpooledJob(std::string_view text);
 
 } // namespace jj
--- a/libs/ledger/src/FileDisk.cpp
+++ b/libs/ledger/src/FileDisk.cpp
@@ -16,7 +16,7 @@
 
     // The suffixes make every valid job id a valid file name, even ".".
     constexpr std::string_view suffix = ".job";
-    constexpr std::string_view unfinished = ".part";
+    constexpr std::string_view temporarySuffix = ".part";
 
     std::error_code lastError() { return { errno, std::system_category() }; }
 
@@ -64,12 +64,12 @@
     if (error)
         return error;
     FileDisk disk(std::move(folder));
-    std::vector<fs::path> left;
+    std::vector<fs::path> leftovers;
     for (const auto& entry : fs::directory_iterator(disk.folder_, error)) {
-        if (entry.path().extension() == unfinished)
-            left.push_back(entry.path());
+        if (entry.path().extension() == temporarySuffix)
+            leftovers.push_back(entry.path());
     }
-    for (const fs::path& path : left)
+    for (const fs::path& path : leftovers)
         fs::remove(path, error);
     if (error)
         return error;
@@ -106,14 +106,14 @@
 
 Result<void> FileDisk::write(const std::string& name, std::string_view text)
 {
-    const std::string beside = pathOf(name) + std::string(unfinished);
+    const std::string temporaryPath = pathOf(name) + std::string(temporarySuffix);
     constexpr int mode = 0600;
     {
-        const Descriptor file(::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode));
+        const Descriptor file(::open(temporaryPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, mode));
         if (!file.isOpen() || !writeAll(file.number(), text) || ::fdatasync(file.number()) != 0)
             return lastError();
     }
-    if (::rename(beside.c_str(), pathOf(name).c_str()) != 0)
+    if (::rename(temporaryPath.c_str(), pathOf(name).c_str()) != 0)
         return lastError();
     return syncFolder();
 }
--- a/libs/ledger/src/JobScheduler.cpp
+++ b/libs/ledger/src/JobScheduler.cpp
@@ -21,7 +21,7 @@
 
 JobScheduler::~JobScheduler() = default;
 
-JobScheduler::Job* JobScheduler::owned(const JobName& name)
+JobScheduler::Job* JobScheduler::findOwnedJob(const JobName& name)
 {
     const auto found = jobs_.find(name);
     return found == jobs_.end() ? nullptr : found->second.get();
@@ -35,8 +35,8 @@
 // Limits the time left to the job's run target: if the wall clock was set back, the job would otherwise be due in the far future.
 TimePoint JobScheduler::dueAt(const JobHead& head, TimePoint now, WallTime wall) const
 {
-    const Duration left = std::chrono::duration_cast<Duration>(head.acceptedAt_ - wall) + head.runTarget_;
-    return now + std::min(left, head.runTarget_);
+    const Duration timeLeft = std::chrono::duration_cast<Duration>(head.acceptedAt_ - wall) + head.runTarget_;
+    return now + std::min(timeLeft, head.runTarget_);
 }
 
 std::size_t JobScheduler::openJobs() const
@@ -49,10 +49,10 @@
 void JobScheduler::adopt(JobTransfer transfer, TimePoint now, WallTime wall)
 {
     wall_ = wall;
-    noticePause(now);
-    if (firstUse_ == TimePoint())
-        firstUse_ = now;
-    if (const Job* known = owned(transfer.job_); known && known->headVersion_ >= transfer.headVersion_)
+    detectPause(now);
+    if (startedAt_ == TimePoint())
+        startedAt_ = now;
+    if (const Job* known = findOwnedJob(transfer.job_); known && known->headVersion_ >= transfer.headVersion_)
         return;
     drop(transfer.job_);
     auto job = std::make_shared<Job>();
@@ -65,7 +65,7 @@
     // The message may have been delayed, and other nodes, which considered this node dead, may have given the job to another owner that has
     // listed results since. A reader sent to this node would then miss results that it has already read. A node that started or was
     // unavailable recently therefore queries the store first. A node that was available throughout can't have been replaced.
-    job->suspect_ = wasAway(now) || transfer.isResent_;
+    job->isOwnershipUncertain_ = wasRecentlyUnavailable(now) || transfer.isResent_;
     for (JobTransfer::Progress& progress : transfer.progress_)
         job->progress_[progress.item_] = std::move(progress);
     for (JobItem& item : transfer.items_) {
@@ -82,13 +82,13 @@
     }
     // A newly accepted job has no results yet, so there is nothing to read.
     if (transfer.resultPages_ == 0 && job->progress_.empty())
-        return loaded(job, now);
+        return finishLoading(job, now);
     loadResults(job, 0, now);
 }
 
 void JobScheduler::loadOwned(const JobName& name, const JobHead& head, ObjectVersion version, TimePoint now)
 {
-    if (owned(name))
+    if (findOwnedJob(name))
         return;
     auto job = std::make_shared<Job>();
     job->name_ = name;
@@ -106,8 +106,8 @@
     // A job that isn't open has no items left to run.
     if (page >= job->head_.itemPages_ || !job->isOpen())
         return loadResults(job, 0, now);
-    store(ObjectCall::get(itemPageKey(job->name_, page)), CallClass::Commit, now + settings_.patience_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
-        if (owned(job->name_) != job.get())
+    store(ObjectCall::get(itemPageKey(job->name_, page)), CallClass::Commit, now + settings_.backgroundTimeout_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
+        if (findOwnedJob(job->name_) != job.get())
             return;
         auto items = answer.ok() ? decodeItems(answer.answer_.value_) : Result<std::vector<JobItem>>(LedgerError::BadRecord);
         if (items) {
@@ -119,10 +119,10 @@
             return loadItems(job, page + 1, at);
         }
         // Items are written together with the head or soon after it. Those of an abandoned submission never arrive.
-        if (answer.is(ObjectError::NotFound) && at - job->loadStarted_ > settings_.itemsBound_)
+        if (answer.is(ObjectError::NotFound) && at - job->loadStarted_ > settings_.itemsTimeout_)
             return makeVoid(job, at);
         note(SchedulerNote::StoreFailed, job->name_, {}, page, answer.ok() ? make_error_code(LedgerError::BadRecord) : answer.answer_.error_);
-        job->commitAgainAt_ = at + settings_.storeRetry_; // tick() restarts the loading
+        job->retryStoreAt_ = at + settings_.storeRetryDelay_; // tick() restarts the loading
         job->items_.clear();
         job->byId_.clear();
     });
@@ -140,22 +140,22 @@
 
 void JobScheduler::loadResults(const JobPtr& job, std::uint32_t page, TimePoint now)
 {
-    store(ObjectCall::get(resultPageKey(job->name_, page)), CallClass::Commit, now + settings_.patience_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
-        if (owned(job->name_) != job.get())
+    store(ObjectCall::get(resultPageKey(job->name_, page)), CallClass::Commit, now + settings_.backgroundTimeout_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
+        if (findOwnedJob(job->name_) != job.get())
             return;
         if (answer.is(ObjectError::NotFound))
-            return job->isOpen() && !job->isComplete() ? fence(job, at) : loaded(job, at);
+            return job->isOpen() && !job->isComplete() ? fence(job, at) : finishLoading(job, at);
         auto results = answer.ok() ? decodeResults(answer.answer_.value_) : Result<std::vector<JobResult>>(LedgerError::BadRecord);
         if (!results) {
             note(SchedulerNote::StoreFailed, job->name_, {}, page, answer.ok() ? make_error_code(LedgerError::BadRecord) : answer.answer_.error_);
-            job->commitAgainAt_ = at + settings_.storeRetry_;
+            job->retryStoreAt_ = at + settings_.storeRetryDelay_;
             return;
         }
         job->pages_ = page + 1;
         applyResults(job, std::move(results.value()));
         // A job that isn't open gets no further results, so its last result ends the loading.
         if (!job->isOpen() && job->isComplete())
-            return loaded(job, at);
+            return finishLoading(job, at);
         loadResults(job, page + 1, at);
     });
 }
@@ -167,24 +167,24 @@
 void JobScheduler::fence(const JobPtr& job, TimePoint now)
 {
     const std::uint32_t page = job->pages_;
-    store(ObjectCall::create(resultPageKey(job->name_, page), encode(std::vector<JobResult>())), CallClass::Commit, now + settings_.patience_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
-        if (owned(job->name_) != job.get())
+    store(ObjectCall::create(resultPageKey(job->name_, page), encode(std::vector<JobResult>())), CallClass::Commit, now + settings_.backgroundTimeout_, [this, job, page](const SettledAnswer& answer, TimePoint at) {
+        if (findOwnedJob(job->name_) != job.get())
             return;
         if (answer.ok()) {
             job->pages_ = page + 1;
-            return loaded(job, at);
+            return finishLoading(job, at);
         }
         if (answer.is(ObjectError::Conflict))
             return loadResults(job, page, at);
         note(SchedulerNote::StoreFailed, job->name_, {}, page, answer.answer_.error_);
-        job->commitAgainAt_ = at + settings_.storeRetry_;
+        job->retryStoreAt_ = at + settings_.storeRetryDelay_;
     });
 }
 
-void JobScheduler::loaded(const JobPtr& job, TimePoint now)
+void JobScheduler::finishLoading(const JobPtr& job, TimePoint now)
 {
-    job->loaded_ = true;
-    job->checkedAt_ = job->loadStarted_;
+    job->isLoaded_ = true;
+    job->confirmedAt_ = job->loadStarted_;
     for (auto& [id, progress] : job->progress_) {
         const auto found = job->byId_.find(id);
         if (found == job->byId_.end() || job->items_[found->second].state_ != ItemState::Waiting)
@@ -231,8 +231,8 @@
     for (Job::Reader& reader : std::exchange(job->readers_, {}))
         reader.done_({});
     // Repeats the cancellations, which then reach the new owner or find the job's final state in the store.
-    for (Job::Ender& ender : std::exchange(job->enders_, {}))
-        end(name, false, ender.asked_, std::move(ender.done_));
+    for (Job::CancelRequest& request : std::exchange(job->cancelRequests_, {}))
+        end(name, false, request.requestedAt_, std::move(request.done_));
 }
 
 // ---- takeover
@@ -249,7 +249,7 @@
 {
     ObjectCall call = ObjectCall::list(std::string(headKind), true, std::move(after));
     call.stale_ = stale;
-    store(std::move(call), CallClass::Read, now + settings_.readBound_ * 4, [this, stale](const SettledAnswer& answer, TimePoint at) {
+    store(std::move(call), CallClass::Read, now + settings_.readTimeout_ * 4, [this, stale](const SettledAnswer& answer, TimePoint at) {
         if (!answer.ok()) {
             scanning_ = false;
             return note(SchedulerNote::StoreFailed, {}, {}, 0, answer.answer_.error_);
@@ -258,7 +258,7 @@
             const Result<JobHead> head = decodeHead(entry.value_);
             const std::string_view name = jobOfHeadKey(entry.key_);
             if (head && !name.empty())
-                consider(std::string(name), head.value(), entry.version_, at);
+                handleListedHead(std::string(name), head.value(), entry.version_, at);
         }
         scanning_ = !answer.answer_.next_.empty();
         if (scanning_)
@@ -266,32 +266,32 @@
     });
 }
 
-void JobScheduler::consider(const JobName& name, const JobHead& head, ObjectVersion version, TimePoint now)
+void JobScheduler::handleListedHead(const JobName& name, const JobHead& head, ObjectVersion version, TimePoint now)
 {
-    if (Job* job = owned(name)) {
-        const bool isNews = version > job->headVersion_ && !job->stateChanging_;
-        if (isNews)
+    if (Job* job = findOwnedJob(name)) {
+        const bool isNewer = version > job->headVersion_ && !job->isUpdatingHead_;
+        if (isNewer)
             refresh(jobs_[name], now, [](bool, TimePoint) {});
         return;
     }
     if (leaving_)
         return;
-    const bool isMine = head.owner_ == outlets_.self_;
-    const bool isOrphan = !isMine && !outlets_.isLive_(head.owner_) && outlets_.preferredOwner_(name, head.owner_) == outlets_.self_;
+    const bool isOwnedHere = head.owner_ == outlets_.self_;
+    const bool isOrphan = !isOwnedHere && !outlets_.isLive_(head.owner_) && outlets_.preferredOwner_(name, head.owner_) == outlets_.self_;
     const bool isExpired = wall_ - head.acceptedAt_ > settings_.retention_ + settings_.clockSlack_;
-    if ((isMine || isOrphan) && (head.state_ == JobState::Open || isExpired))
+    if ((isOwnedHere || isOrphan) && (head.state_ == JobState::Open || isExpired))
         takeOver(name, now);
 }
 
 // The list may be stale, so the head itself is read before it is acted on.
 void JobScheduler::takeOver(const JobName& name, TimePoint now)
 {
-    const auto [claim, isNew] = claiming_.try_emplace(name, now);
+    const auto [claim, isNew] = pendingTakeovers_.try_emplace(name, now);
     if (!isNew)
         return;
-    lookUp(name, now, [this, name](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
-        claiming_.erase(name);
-        if (outcome != ReadOutcome::Found || leaving_ || owned(name))
+    readHead(name, now, [this, name](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
+        pendingTakeovers_.erase(name);
+        if (outcome != ReadOutcome::Found || leaving_ || findOwnedJob(name))
             return;
         if (head.owner_ == outlets_.self_)
             return loadOwned(name, head, version, at);
@@ -303,37 +303,37 @@
 
 void JobScheduler::claim(const JobName& name, JobHead head, ObjectVersion version, TimePoint now)
 {
-    claiming_[name] = now;
+    pendingTakeovers_[name] = now;
     head.owner_ = outlets_.self_;
-    store(ObjectCall::update(headKey(name), encode(head), version), CallClass::Commit, now + settings_.itemsBound_, [this, name, head](const SettledAnswer& answer, TimePoint at) {
-        claiming_.erase(name);
+    store(ObjectCall::update(headKey(name), encode(head), version), CallClass::Commit, now + settings_.itemsTimeout_, [this, name, head](const SettledAnswer& answer, TimePoint at) {
+        pendingTakeovers_.erase(name);
         if (!answer.ok())
             return;
         note(SchedulerNote::TakenOver, name, {}, answer.answer_.version_.value());
         loadOwned(name, head, answer.answer_.version_, at);
-        if (Job* job = owned(name))
+        if (Job* job = findOwnedJob(name))
             job->isTakenOver_ = true;
     });
 }
 
-void JobScheduler::suspectAll(TimePoint now)
+void JobScheduler::recheckOwnership(TimePoint now)
 {
-    awayAt_ = now;
+    lastUnavailableAt_ = now;
     for (auto& [name, job] : jobs_)
-        job->suspect_ = job->isOpen();
+        job->isOwnershipUncertain_ = job->isOpen();
 }
 
 // Reads the head from the store to confirm that this node still owns the job. `isOwner` is true if it does and thus has all listed results
 // in memory.
 void JobScheduler::refresh(const JobPtr& job, TimePoint now, std::function<void(bool, TimePoint)> then)
 {
-    lookUp(job->name_, now, [this, job, now, then = std::move(then)](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
-        if (owned(job->name_) != job.get())
+    readHead(job->name_, now, [this, job, now, then = std::move(then)](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
+        if (findOwnedJob(job->name_) != job.get())
             return then(false, at);
-        if (outcome == ReadOutcome::Unsure)
+        if (outcome == ReadOutcome::Unavailable)
             return then(false, at);
         if (outcome == ReadOutcome::Missing || head.owner_ != outlets_.self_) {
-            note(SchedulerNote::Lost, job->name_, {}, version.isNone() ? 0 : version.value());
+            note(SchedulerNote::OwnershipLost, job->name_, {}, version.isNone() ? 0 : version.value());
             drop(job->name_);
             return then(false, at);
         }
@@ -342,8 +342,8 @@
             job->head_ = head;
             stopRuns(job, false);
         }
-        job->suspect_ = false;
-        job->checkedAt_ = std::max(job->checkedAt_, now);
+        job->isOwnershipUncertain_ = false;
+        job->confirmedAt_ = std::max(job->confirmedAt_, now);
         then(true, at);
     });
 }
@@ -353,10 +353,10 @@
 void JobScheduler::beginLeaving(TimePoint now)
 {
     leaving_ = true;
-    passOn(now);
+    handOverMisplaced(now);
 }
 
-void JobScheduler::passOn(TimePoint now)
+void JobScheduler::handOverMisplaced(TimePoint now)
 {
     std::vector<JobPtr> all;
     for (const auto& [name, job] : jobs_)
@@ -372,7 +372,7 @@
     if (!job->isOpen())
         return;
     const NodeId target = outlets_.preferredOwner_(job->name_, outlets_.self_);
-    if (target.isNone() || target == outlets_.self_ || !job->loaded_ || job->stateChanging_)
+    if (target.isNone() || target == outlets_.self_ || !job->isLoaded_ || job->isUpdatingHead_)
         return;
     stopRuns(job, true);
     if (job->isCommitting_)
@@ -381,10 +381,10 @@
         return commit(job, now);
     JobHead head = job->head_;
     head.owner_ = target;
-    job->stateChanging_ = true;
-    store(ObjectCall::update(headKey(job->name_), encode(head), job->headVersion_), CallClass::Commit, now + settings_.itemsBound_, [this, job, head](const SettledAnswer& answer, TimePoint at) {
-        job->stateChanging_ = false;
-        if (owned(job->name_) != job.get())
+    job->isUpdatingHead_ = true;
+    store(ObjectCall::update(headKey(job->name_), encode(head), job->headVersion_), CallClass::Commit, now + settings_.itemsTimeout_, [this, job, head](const SettledAnswer& answer, TimePoint at) {
+        job->isUpdatingHead_ = false;
+        if (findOwnedJob(job->name_) != job.get())
             return;
         if (!answer.ok())
             return refresh(job, at, [](bool, TimePoint) {});
@@ -402,13 +402,13 @@
 
 // ---- periodic work
 
-bool JobScheduler::wasPaused(TimePoint now) const { return awayAt_ != TimePoint() && now - awayAt_ < settings_.newcomer_; }
+bool JobScheduler::wasRecentlyPaused(TimePoint now) const { return lastUnavailableAt_ != TimePoint() && now - lastUnavailableAt_ < settings_.replacementWindow_; }
 
-bool JobScheduler::wasAway(TimePoint now) const { return isNewcomer(now) || wasPaused(now); }
+bool JobScheduler::wasRecentlyUnavailable(TimePoint now) const { return isRecentlyStarted(now) || wasRecentlyPaused(now); }
 
 bool JobScheduler::mayHaveBeenReplaced(const Job& job, TimePoint now) const
 {
-    return wasPaused(now) || (isNewcomer(now) && !job.isConfirmed_) || outlets_.mayBeReplaced_();
+    return wasRecentlyPaused(now) || (isRecentlyStarted(now) && !job.isConfirmed_) || outlets_.mayBeReplaced_();
 }
 
 // Rewrites the head after a restart, once all nodes have noticed that this process is alive. Until then, nodes that consider this node dead
@@ -417,79 +417,79 @@
 // requires the earlier version of the head.
 void JobScheduler::confirmOwnership(const JobPtr& job, TimePoint now)
 {
-    const bool isDue = !job->isConfirmed_ && isNewcomer(now) && !wasPaused(now) && now - firstUse_ >= settings_.knownAfter_;
-    if (!isDue || !job->isOpen() || job->isComplete() || job->stateChanging_ || !job->enders_.empty() || now < job->commitAgainAt_)
+    const bool isDue = !job->isConfirmed_ && isRecentlyStarted(now) && !wasRecentlyPaused(now) && now - startedAt_ >= settings_.announcedAfter_;
+    if (!isDue || !job->isOpen() || job->isComplete() || job->isUpdatingHead_ || !job->cancelRequests_.empty() || now < job->retryStoreAt_)
         return;
     JobHead head = job->head_;
     ++head.term_;
-    job->stateChanging_ = true;
-    store(ObjectCall::update(headKey(job->name_), encode(head), job->headVersion_), CallClass::Commit, now + settings_.itemsBound_, [this, job, head, now](const SettledAnswer& answer, TimePoint at) {
-        job->stateChanging_ = false;
-        if (owned(job->name_) != job.get())
+    job->isUpdatingHead_ = true;
+    store(ObjectCall::update(headKey(job->name_), encode(head), job->headVersion_), CallClass::Commit, now + settings_.itemsTimeout_, [this, job, head, now](const SettledAnswer& answer, TimePoint at) {
+        job->isUpdatingHead_ = false;
+        if (findOwnedJob(job->name_) != job.get())
             return;
         if (!answer.ok()) {
-            job->commitAgainAt_ = at + settings_.storeRetry_;
+            job->retryStoreAt_ = at + settings_.storeRetryDelay_;
             return refresh(job, at, [](bool, TimePoint) {});
         }
         job->head_ = head;
         job->headVersion_ = answer.answer_.version_;
-        job->checkedAt_ = std::max(job->checkedAt_, now);
-        job->suspect_ = false;
+        job->confirmedAt_ = std::max(job->confirmedAt_, now);
+        job->isOwnershipUncertain_ = false;
         job->isConfirmed_ = true;
     });
 }
 
 // Detects that the process was paused. Reads call this as well as the tick, because the first event after a pause may be a caller's read.
-void JobScheduler::noticePause(TimePoint now)
+void JobScheduler::detectPause(TimePoint now)
 {
-    if (lastTick_ == TimePoint() || now - lastTick_ <= settings_.pauseBound_)
+    if (lastTick_ == TimePoint() || now - lastTick_ <= settings_.pauseThreshold_)
         return;
     lastTick_ = now;
-    suspectAll(now);
+    recheckOwnership(now);
 }
 
 void JobScheduler::tick(TimePoint now, WallTime wall)
 {
     wall_ = wall;
-    noticePause(now);
+    detectPause(now);
     lastTick_ = now;
-    if (firstUse_ == TimePoint())
-        firstUse_ = now;
+    if (startedAt_ == TimePoint())
+        startedAt_ = now;
     std::vector<JobPtr> all;
     for (const auto& [name, job] : jobs_)
         all.push_back(job);
     for (const JobPtr& job : all) {
-        if (owned(job->name_) != job.get())
+        if (findOwnedJob(job->name_) != job.get())
             continue;
-        const bool mustLoadAgain = !job->loaded_ && job->commitAgainAt_ != TimePoint() && now >= job->commitAgainAt_;
-        if (mustLoadAgain) {
-            job->commitAgainAt_ = {};
+        const bool mustReload = !job->isLoaded_ && job->retryStoreAt_ != TimePoint() && now >= job->retryStoreAt_;
+        if (mustReload) {
+            job->retryStoreAt_ = {};
             job->listed_.clear();
             job->pages_ = 0;
             job->items_.empty() ? loadItems(job, 0, now) : loadResults(job, 0, now);
         }
         answerReaders(job, now, false);
-        answerLateEnders(job, now);
-        writeEnd(job, now);
-        if (!job->loaded_)
+        answerTimedOutCancelRequests(job, now);
+        writeCancellation(job, now);
+        if (!job->isLoaded_)
             continue;
         if (leaving_) {
             handOver(job, now);
             continue;
         }
         // If another node owns the job by now, it may have started the same items; the job is then dropped and its runs here stop.
-        const bool mustAsk = job->isOpen() && job->suspect_ && now >= job->askAgainAt_;
-        if (mustAsk) {
-            job->askAgainAt_ = now + settings_.storeRetry_;
+        const bool mustConfirm = job->isOpen() && job->isOwnershipUncertain_ && now >= job->nextConfirmationAt_;
+        if (mustConfirm) {
+            job->nextConfirmationAt_ = now + settings_.storeRetryDelay_;
             refresh(job, now, [](bool, TimePoint) {});
-            if (owned(job->name_) != job.get())
+            if (findOwnedJob(job->name_) != job.get())
                 continue;
         }
         confirmOwnership(job, now);
         abandonOverdue(job, now);
         commitIfDue(job, now);
         completeIfDone(job, now);
-        const bool isIdle = !job->isOpen() && job->readers_.empty() && now - job->lastUse_ > settings_.keepIdle_;
+        const bool isIdle = !job->isOpen() && job->readers_.empty() && now - job->lastUse_ > settings_.idleTimeout_;
         if (!job->isOpen() && wall_ - job->head_.acceptedAt_ > settings_.retention_ + settings_.clockSlack_)
             removeExpired(job, wall, now);
         else if (isIdle)
@@ -503,9 +503,9 @@
     if (!isOverdue)
         return;
     stopRuns(job, true);
-    for (std::size_t place = 0; place < job->items_.size(); ++place) {
-        if (job->items_[place].state_ == ItemState::Waiting)
-            finishItem(job, place, ResultState::Errored, now);
+    for (std::size_t itemIndex = 0; itemIndex < job->items_.size(); ++itemIndex) {
+        if (job->items_[itemIndex].state_ == ItemState::Waiting)
+            finishItem(job, itemIndex, ResultState::Errored, now);
     }
 }
 
@@ -514,10 +514,10 @@
 {
     const auto ignore = [](const SettledAnswer&, TimePoint) {};
     for (std::uint32_t page = 0; page < job->pages_; ++page)
-        store(ObjectCall::remove(resultPageKey(job->name_, page)), CallClass::Background, now + settings_.patience_, ignore);
+        store(ObjectCall::remove(resultPageKey(job->name_, page)), CallClass::Background, now + settings_.backgroundTimeout_, ignore);
     for (std::uint32_t page = 0; page < job->head_.itemPages_; ++page)
-        store(ObjectCall::remove(itemPageKey(job->name_, page)), CallClass::Background, now + settings_.patience_, ignore);
-    store(ObjectCall::remove(headKey(job->name_)), CallClass::Background, now + settings_.patience_, ignore);
+        store(ObjectCall::remove(itemPageKey(job->name_, page)), CallClass::Background, now + settings_.backgroundTimeout_, ignore);
+    store(ObjectCall::remove(headKey(job->name_)), CallClass::Background, now + settings_.backgroundTimeout_, ignore);
     note(SchedulerNote::Removed, job->name_);
     drop(job->name_);
 }
--- a/libs/ledger/src/Records.cpp
+++ b/libs/ledger/src/Records.cpp
@@ -49,7 +49,7 @@
     // Parses the text and reads it with `read`. The accessors of Boost.JSON throw if the value has an unexpected type; this returns
     // BadRecord instead.
     template <class Read>
-    auto guarded(std::string_view text, Read read) -> Result<decltype(read(std::declval<const json::value&>()))>
+    auto parseRecord(std::string_view text, Read read) -> Result<decltype(read(std::declval<const json::value&>()))>
     {
         json::error_code error;
         const json::value value = json::parse(toJson(text), error);
@@ -81,14 +81,14 @@
 
 bool isValidJobName(std::string_view name)
 {
-    return name.size() <= longestJobName && isValidKey(name) && name.find('/') == std::string_view::npos;
+    return name.size() <= maxJobNameLength && isValidKey(name) && name.find('/') == std::string_view::npos;
 }
 
 std::string headKey(std::string_view job) { return std::string(headKind).append(job); }
 
-std::string endMarkKey(std::string_view job) { return std::string(endMarkKind).append(job); }
+std::string cancelMarkKey(std::string_view job) { return std::string(cancelMarkKind).append(job); }
 
-std::string_view jobOfEndMark(std::string_view key) { return key.starts_with(endMarkKind) ? key.substr(endMarkKind.size()) : std::string_view(); }
+std::string_view jobOfCancelMark(std::string_view key) { return key.starts_with(cancelMarkKind) ? key.substr(cancelMarkKind.size()) : std::string_view(); }
 
 std::string itemPageKey(std::string_view job, std::uint32_t page) { return std::string("job-items/").append(job).append(".").append(std::to_string(page)); }
 
@@ -140,7 +140,7 @@
 
 Result<JobHead> decodeHead(std::string_view text)
 {
-    return guarded(text, [](const json::value& value) {
+    return parseRecord(text, [](const json::value& value) {
         const json::object& object = value.as_object();
         JobHead head;
         head.host_ = viewOf(object.at("host"));
@@ -164,7 +164,7 @@
 
 Result<std::vector<JobItem>> decodeItems(std::string_view text)
 {
-    return guarded(text, [](const json::value& value) {
+    return parseRecord(text, [](const json::value& value) {
         std::vector<JobItem> items;
         for (const json::value& one : value.as_array()) {
             const json::array& fields = one.as_array();
@@ -179,7 +179,7 @@
 
 Result<std::vector<JobResult>> decodeResults(std::string_view text)
 {
-    return guarded(text, [](const json::value& value) {
+    return parseRecord(text, [](const json::value& value) {
         std::vector<JobResult> results;
         for (const json::value& one : value.as_array()) {
             const json::array& fields = one.as_array();
@@ -190,7 +190,7 @@
     });
 }
 
-Checked<std::vector<std::vector<JobItem>>> paged(std::vector<JobItem> items)
+Checked<std::vector<std::vector<JobItem>>> splitIntoPages(std::vector<JobItem> items)
 {
     if (items.empty())
         return Failure { LedgerError::NoItems, {} };
@@ -222,8 +222,8 @@
     std::string bytes(base64::decoded_size(text.size()), '\0');
     const auto [written, read] = base64::decode(bytes.data(), text.data(), text.size());
     const std::size_t padding = text.size() - std::min(text.size(), text.find_last_not_of('=') + 1);
-    constexpr std::size_t mostPadding = 2;
-    if (padding > mostPadding || read + padding != text.size())
+    constexpr std::size_t maxPadding = 2;
+    if (padding > maxPadding || read + padding != text.size())
         return LedgerError::BadRecord;
     bytes.resize(written);
     return bytes;
--- a/libs/ledger/src/ScheduledJob.h
+++ b/libs/ledger/src/ScheduledJob.h
@@ -19,13 +19,13 @@
     std::uint32_t events_ = 0;
     std::uint64_t lastEvent_ = 0; // valid if events_ > 0
     std::uint32_t failures_ = 0; // number of runs that ended with an error of the engine itself
-    std::uint32_t setbacks_ = 0; // number of failed runs since the last event was received
+    std::uint32_t retries_ = 0; // number of failed runs since the last event was received
     TimePoint notBefore_ {};
-    TimePoint begunAt_ {}; // start of its first run on this node; none if it hasn't run
+    TimePoint firstRunAt_ {}; // start of its first run on this node; none if it hasn't run
     RunId run_; // set while Running
 
     // Discards text and position together: a run that resumes after discarded text would leave a gap in the result.
-    void startAnew()
+    void discardProgress()
     {
         text_.clear();
         events_ = 0;
@@ -40,16 +40,16 @@
         ReadDone done_;
     };
 
-    struct Ender {
-        TimePoint asked_ {};
-        EndDone done_;
+    struct CancelRequest {
+        TimePoint requestedAt_ {};
+        CancelDone done_;
     };
 
     JobName name_;
     JobHead head_;
     ObjectVersion headVersion_;
     TimePoint due_ {};
-    bool loaded_ = false; // items and results are in memory
+    bool isLoaded_ = false; // items and results are in memory
     TimePoint loadStarted_ {};
     std::vector<Item> items_;
     std::unordered_map<std::string, std::size_t> byId_;
@@ -62,23 +62,23 @@
     std::vector<JobResult> committing_; // results in the pending create of page pages_
     bool isCommitting_ = false;
     TimePoint commitSentAt_ {};
-    TimePoint commitAgainAt_ {};
+    TimePoint retryStoreAt_ {};
 
     std::vector<Reader> readers_;
-    bool suspect_ = false; // another node may own the job by now
-    TimePoint askAgainAt_ {};
-    TimePoint checkedAt_ {}; // when the latest query was sent that confirmed this node's ownership
+    bool isOwnershipUncertain_ = false; // another node may own the job by now
+    TimePoint nextConfirmationAt_ {};
+    TimePoint confirmedAt_ {}; // when the latest query was sent that confirmed this node's ownership
     TimePoint lastUse_ {};
-    bool stateChanging_ = false; // an update of the head is pending
-    std::vector<Ender> enders_; // callers that requested cancellation and haven't been answered
-    bool ending_ = false; // the pending update of the head cancels the job
+    bool isUpdatingHead_ = false; // an update of the head is pending
+    std::vector<CancelRequest> cancelRequests_; // callers that requested cancellation and haven't been answered
+    bool isCancelling_ = false; // the pending update of the head cancels the job
     // Invariant: if true, no claim that another node sent before it noticed this process's start can succeed any more.
     bool isConfirmed_ = false;
     bool isTakenOver_ = false; // from an owner that this node considered dead, but that may still be alive
     std::map<std::string, JobTransfer::Progress> progress_; // from a transfer, until the items are loaded
 
     bool isOpen() const { return head_.state_ == JobState::Open; }
-    bool mayRun() const { return loaded_ && isOpen() && !ending_ && enders_.empty(); }
+    bool mayRun() const { return isLoaded_ && isOpen() && !isCancelling_ && cancelRequests_.empty(); }
     bool isComplete() const { return listed_.size() >= head_.total_; }
 };
 
--- a/libs/ledger/src/SchedulerReads.cpp
+++ b/libs/ledger/src/SchedulerReads.cpp
@@ -20,11 +20,11 @@
         answer.outcome_ = ReadOutcome::Found;
         answer.total_ = total;
         std::size_t used = 0;
-        for (std::size_t place = after; place < results.size(); ++place) {
-            used += sizeOf(results[place]);
+        for (std::size_t position = after; position < results.size(); ++position) {
+            used += sizeOf(results[position]);
             if (used > bytes && !answer.results_.empty())
                 break;
-            answer.results_.push_back(results[place]);
+            answer.results_.push_back(results[position]);
         }
         answer.next_ = after + static_cast<std::uint32_t>(answer.results_.size());
         return answer;
@@ -33,51 +33,51 @@
 } // namespace
 
 // Reads the head from the store. A job that isn't there may still be spooled on a disk, or may have been uploaded from a disk while the
-// store's answer was in flight. So mayBeKept_ is checked both before and after the call; with one check alone, 6 of 20,000 explored
+// store's answer was in flight. So mayBeSpooled_ is checked both before and after the call; with one check alone, 6 of 20,000 explored
 // schedules reported an acknowledged job as missing.
-void JobScheduler::lookUp(const JobName& name, TimePoint now, std::function<void(ReadOutcome, const JobHead&, ObjectVersion, TimePoint)> then)
+void JobScheduler::readHead(const JobName& name, TimePoint now, std::function<void(ReadOutcome, const JobHead&, ObjectVersion, TimePoint)> then)
 {
-    const bool mightBeKept = outlets_.mayBeKept_();
-    store(ObjectCall::get(headKey(name)), CallClass::Read, now + settings_.readBound_, [this, mightBeKept, then = std::move(then)](const SettledAnswer& answer, TimePoint at) {
-        const ReadOutcome missing = mightBeKept || outlets_.mayBeKept_() ? ReadOutcome::Unsure : ReadOutcome::Missing;
+    const bool mightBeSpooled = outlets_.mayBeSpooled_();
+    store(ObjectCall::get(headKey(name)), CallClass::Read, now + settings_.readTimeout_, [this, mightBeSpooled, then = std::move(then)](const SettledAnswer& answer, TimePoint at) {
+        const ReadOutcome missing = mightBeSpooled || outlets_.mayBeSpooled_() ? ReadOutcome::Unavailable : ReadOutcome::Missing;
         if (answer.is(ObjectError::NotFound))
             return then(missing, {}, ObjectVersion::none(), at);
         const Result<JobHead> head = answer.ok() ? decodeHead(answer.answer_.value_) : Result<JobHead>(LedgerError::BadRecord);
         if (!head)
-            return then(ReadOutcome::Unsure, {}, ObjectVersion::none(), at);
+            return then(ReadOutcome::Unavailable, {}, ObjectVersion::none(), at);
         // A job whose items never all arrived was never accepted.
         const ReadOutcome outcome = head.value().state_ == JobState::Void ? missing : ReadOutcome::Found;
         then(outcome, head.value(), answer.answer_.version_, at);
     });
 }
 
-void JobScheduler::locate(const JobName& name, TimePoint now, std::function<void(const Place&)> done)
+void JobScheduler::locate(const JobName& name, TimePoint now, std::function<void(const JobLocation&)> done)
 {
-    lookUp(name, now, [done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint) { done({ outcome, head.owner_, head.state_, head.total_ }); });
+    readHead(name, now, [done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint) { done({ outcome, head.owner_, head.state_, head.total_ }); });
 }
 
 // ---- results
 
-ReadAnswer JobScheduler::slice(const Job& job, std::uint32_t after) const { return sliceOf(job.listed_, job.head_.total_, after, settings_.answerBytes_); }
+ReadAnswer JobScheduler::slice(const Job& job, std::uint32_t after) const { return sliceOf(job.listed_, job.head_.total_, after, settings_.maxAnswerBytes_); }
 
 void JobScheduler::read(const JobName& name, std::uint32_t after, Duration wait, bool force, TimePoint now, ReadDone done)
 {
-    noticePause(now);
+    detectPause(now);
     if (const auto found = jobs_.find(name); found != jobs_.end() && !force)
         return readOwned(found->second, after, wait, now, std::move(done));
-    lookUp(name, now, [this, name, after, wait, force, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
+    readHead(name, now, [this, name, after, wait, force, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion version, TimePoint at) {
         ReadAnswer answer;
         answer.outcome_ = outcome;
         if (outcome != ReadOutcome::Found)
             return done(std::move(answer));
-        const bool isMine = head.owner_ == outlets_.self_ && !leaving_;
-        if (isMine && !force) {
+        const bool isOwnedHere = head.owner_ == outlets_.self_ && !leaving_;
+        if (isOwnedHere && !force) {
             loadOwned(name, head, version, at);
             return readOwned(jobs_.at(name), after, wait, at, done);
         }
-        answer.outcome_ = ReadOutcome::Elsewhere;
+        answer.outcome_ = ReadOutcome::OtherOwner;
         answer.owner_ = head.owner_;
-        if (!force && outlets_.isLive_(head.owner_) && !isMine)
+        if (!force && outlets_.isLive_(head.owner_) && !isOwnedHere)
             return done(std::move(answer));
         if (!force && head.state_ == JobState::Open && !leaving_ && outlets_.preferredOwner_(name, head.owner_) == outlets_.self_)
             takeOver(name, at);
@@ -88,20 +88,20 @@
 void JobScheduler::readOwned(const JobPtr& job, std::uint32_t after, Duration wait, TimePoint now, ReadDone done)
 {
     job->lastUse_ = now;
-    const TimePoint until = now + std::min(wait, settings_.readBound_);
-    if (!job->loaded_) {
-        job->readers_.push_back({ after, std::max(until, now + settings_.readBound_), std::move(done) });
+    const TimePoint until = now + std::min(wait, settings_.readTimeout_);
+    if (!job->isLoaded_) {
+        job->readers_.push_back({ after, std::max(until, now + settings_.readTimeout_), std::move(done) });
         return;
     }
     // One confirmation is not enough: other nodes may not have noticed yet that this node is back, and may take over the job after the
     // store's answer.
-    const bool isOutdated = now - job->checkedAt_ > settings_.trustedFor_ && mayHaveBeenReplaced(*job, now);
-    const bool mustAsk = job->isOpen() && !job->isComplete() && (job->suspect_ || isOutdated);
+    const bool isOutdated = now - job->confirmedAt_ > settings_.confirmationLifetime_ && mayHaveBeenReplaced(*job, now);
+    const bool mustConfirm = job->isOpen() && !job->isComplete() && (job->isOwnershipUncertain_ || isOutdated);
     // The caller has already seen more results than this node has in memory.
     const bool isBehind = after > job->listed_.size() && !job->isComplete();
-    if (mustAsk || isBehind) {
-        return refresh(job, now, [this, job, after, wait, isBehind, done = std::move(done)](bool known, TimePoint at) {
-            if (!known || isBehind) {
+    if (mustConfirm || isBehind) {
+        return refresh(job, now, [this, job, after, wait, isBehind, done = std::move(done)](bool isOwner, TimePoint at) {
+            if (!isOwner || isBehind) {
                 // The store holds everything that another owner has listed, and the head names the current owner.
                 return read(job->name_, after, wait, true, at, done);
             }
@@ -120,14 +120,14 @@
         return;
     std::vector<Job::Reader> ready;
     std::erase_if(job->readers_, [&](Job::Reader& reader) {
-        const bool hasNews = job->loaded_ && (reader.after_ < job->listed_.size() || job->isComplete() || !job->isOpen());
-        if (!all && !hasNews && now < reader.until_)
+        const bool hasAnswer = job->isLoaded_ && (reader.after_ < job->listed_.size() || job->isComplete() || !job->isOpen());
+        if (!all && !hasAnswer && now < reader.until_)
             return false;
         ready.push_back(std::move(reader));
         return true;
     });
     for (Job::Reader& reader : ready)
-        reader.done_(job->loaded_ ? slice(*job, reader.after_) : ReadAnswer {});
+        reader.done_(job->isLoaded_ ? slice(*job, reader.after_) : ReadAnswer {});
 }
 
 namespace {
@@ -164,73 +164,73 @@
 
 void JobScheduler::readFromStore(const JobName& name, const JobHead& head, std::uint32_t after, TimePoint now, const ReadDone& done)
 {
-    readPage(std::make_shared<StoreRead>(StoreRead { outlets_.store_, name, head, after, settings_.answerBytes_, now + settings_.readBound_, {}, done }), 0);
+    readPage(std::make_shared<StoreRead>(StoreRead { outlets_.store_, name, head, after, settings_.maxAnswerBytes_, now + settings_.readTimeout_, {}, done }), 0);
 }
 
 // ---- bodies
 
 void JobScheduler::body(const JobName& name, const std::string& item, bool force, TimePoint now, BodyDone done)
 {
-    const Job* job = owned(name);
-    if (job && job->loaded_ && job->isOpen() && !force) {
+    const Job* job = findOwnedJob(name);
+    if (job && job->isLoaded_ && job->isOpen() && !force) {
         const auto found = job->byId_.find(item);
         BodyAnswer answer;
-        const bool isThere = found != job->byId_.end() && job->items_[found->second].state_ != ItemState::Listed;
-        answer.outcome_ = isThere ? ReadOutcome::Found : ReadOutcome::Missing;
-        if (isThere) {
+        const bool isFound = found != job->byId_.end() && job->items_[found->second].state_ != ItemState::Listed;
+        answer.outcome_ = isFound ? ReadOutcome::Found : ReadOutcome::Missing;
+        if (isFound) {
             if (auto bytes = fromBase64(job->items_[found->second].item_.body_))
                 answer.body_ = std::move(bytes.value());
         }
         return done(std::move(answer));
     }
-    lookUp(name, now, [this, name, item, force, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint at) {
+    readHead(name, now, [this, name, item, force, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint at) {
         BodyAnswer answer;
         answer.outcome_ = outcome;
         answer.owner_ = head.owner_;
         if (outcome != ReadOutcome::Found)
             return done(std::move(answer));
-        const bool isElsewhere = !force && head.owner_ != outlets_.self_ && outlets_.isLive_(head.owner_);
-        if (isElsewhere) {
-            answer.outcome_ = ReadOutcome::Elsewhere;
+        const bool isOwnedByOther = !force && head.owner_ != outlets_.self_ && outlets_.isLive_(head.owner_);
+        if (isOwnedByOther) {
+            answer.outcome_ = ReadOutcome::OtherOwner;
             return done(std::move(answer));
         }
         // The item pages stay in the store until the job is removed.
-        auto seek = std::make_shared<std::function<void(std::uint32_t, TimePoint)>>();
-        *seek = [this, name, item, head, done, seek](std::uint32_t page, TimePoint then) {
+        auto readNextPage = std::make_shared<std::function<void(std::uint32_t, TimePoint)>>();
+        *readNextPage = [this, name, item, head, done, readNextPage](std::uint32_t page, TimePoint then) {
             BodyAnswer found;
             if (page >= head.itemPages_) {
                 found.outcome_ = ReadOutcome::Missing;
                 done(std::move(found));
-                *seek = nullptr;
+                *readNextPage = nullptr;
                 return;
             }
-            store(ObjectCall::get(itemPageKey(name, page)), CallClass::Read, then + settings_.readBound_, [item, page, done, seek](const SettledAnswer& settled, TimePoint later) {
+            store(ObjectCall::get(itemPageKey(name, page)), CallClass::Read, then + settings_.readTimeout_, [item, page, done, readNextPage](const SettledAnswer& settled, TimePoint later) {
                 const auto items = settled.ok() ? decodeItems(settled.answer_.value_) : Result<std::vector<JobItem>>(LedgerError::BadRecord);
                 if (!items) {
                     done({});
-                    *seek = nullptr;
+                    *readNextPage = nullptr;
                     return;
                 }
-                const auto place = std::find_if(items.value().begin(), items.value().end(), [&](const JobItem& one) { return one.id_ == item; });
-                if (place == items.value().end())
-                    return (*seek)(page + 1, later);
+                const auto position = std::find_if(items.value().begin(), items.value().end(), [&](const JobItem& one) { return one.id_ == item; });
+                if (position == items.value().end())
+                    return (*readNextPage)(page + 1, later);
                 BodyAnswer hit;
-                const auto bytes = fromBase64(place->body_);
+                const auto bytes = fromBase64(position->body_);
                 hit.outcome_ = bytes ? ReadOutcome::Found : ReadOutcome::Missing;
                 if (bytes)
                     hit.body_ = bytes.value();
                 done(std::move(hit));
-                *seek = nullptr;
+                *readNextPage = nullptr;
             });
         };
-        const auto first = *seek;
+        const auto first = *readNextPage;
         first(0, at);
     });
 }
 
 // ---- cancellation
 
-void JobScheduler::end(const JobName& name, bool force, TimePoint now, EndDone done)
+void JobScheduler::end(const JobName& name, bool force, TimePoint now, CancelDone done)
 {
     const auto found = jobs_.find(name);
     if (found != jobs_.end() && !force) {
@@ -241,90 +241,90 @@
         // The runs stop before the acknowledgement, and none starts while the head is being updated, so no item starts after the
         // acknowledgement.
         stopRuns(job, true);
-        job->enders_.push_back({ now, std::move(done) });
-        return writeEnd(job, now);
+        job->cancelRequests_.push_back({ now, std::move(done) });
+        return writeCancellation(job, now);
     }
-    lookUp(name, now, [this, name, force, now, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint at) {
+    readHead(name, now, [this, name, force, now, done = std::move(done)](ReadOutcome outcome, const JobHead& head, ObjectVersion, TimePoint at) {
         if (outcome != ReadOutcome::Found)
             return done({ outcome, {} });
         // The first call may not have been acknowledged because its mark was not written, so the mark is written again.
-        if (head.state_ == JobState::Ended && force)
-            return markEnd(name, now + settings_.readBound_, done);
+        if (head.state_ == JobState::Cancelled && force)
+            return writeCancelMark(name, now + settings_.readTimeout_, done);
         if (head.state_ != JobState::Open)
             return done({ ReadOutcome::Found, head.owner_ });
-        if (!force && owned(name))
+        if (!force && findOwnedJob(name))
             return end(name, false, now, done); // this node became the owner in the meantime
         if (!force && head.owner_ != outlets_.self_ && outlets_.isLive_(head.owner_))
-            return done({ ReadOutcome::Elsewhere, head.owner_ });
-        endInStore(name, at, now + settings_.readBound_, done);
+            return done({ ReadOutcome::OtherOwner, head.owner_ });
+        cancelInStore(name, at, now + settings_.readTimeout_, done);
     });
 }
 
 // Writes the cancellation into the head. If another change of the head (completion or handover) is pending, the callers wait until it has
-// settled, because an update sent now would conflict with it, and callers would get Unsure although the store works. Afterwards the
+// settled, because an update sent now would conflict with it, and callers would get Unavailable although the store works. Afterwards the
 // job is complete, or belongs to another node (drop() repeats the call), or the cancellation is written.
-void JobScheduler::writeEnd(const JobPtr& job, TimePoint now)
+void JobScheduler::writeCancellation(const JobPtr& job, TimePoint now)
 {
-    if (job->enders_.empty() || job->stateChanging_)
+    if (job->cancelRequests_.empty() || job->isUpdatingHead_)
         return;
     if (!job->isOpen() || job->isComplete())
-        return answerEnders(job, { ReadOutcome::Found, outlets_.self_ });
-    job->ending_ = true;
-    setState(job, JobState::Ended, now, [this, job](bool ended, TimePoint at) {
-        job->ending_ = false;
-        if (!ended)
-            return answerEnders(job, {});
+        return answerCancelRequests(job, { ReadOutcome::Found, outlets_.self_ });
+    job->isCancelling_ = true;
+    setState(job, JobState::Cancelled, now, [this, job](bool isWritten, TimePoint at) {
+        job->isCancelling_ = false;
+        if (!isWritten)
+            return answerCancelRequests(job, {});
         job->lastUse_ = at;
         job->pending_.clear();
         job->items_.clear();
         job->byId_.clear();
-        note(SchedulerNote::JobEnded, job->name_, {}, job->listed_.size());
+        note(SchedulerNote::JobCancelled, job->name_, {}, job->listed_.size());
         answerReaders(job, at, true);
         if (!job->isTakenOver_)
-            return answerEnders(job, { ReadOutcome::Found, outlets_.self_ });
-        markEnd(job->name_, at + settings_.readBound_, [job](const EndAnswer& answer) { answerEnders(job, answer); });
+            return answerCancelRequests(job, { ReadOutcome::Found, outlets_.self_ });
+        writeCancelMark(job->name_, at + settings_.readTimeout_, [job](const CancelAnswer& answer) { answerCancelRequests(job, answer); });
     });
 }
 
-void JobScheduler::answerEnders(const JobPtr& job, const EndAnswer& answer)
+void JobScheduler::answerCancelRequests(const JobPtr& job, const CancelAnswer& answer)
 {
-    for (Job::Ender& ender : std::exchange(job->enders_, {}))
-        ender.done_(answer);
+    for (Job::CancelRequest& request : std::exchange(job->cancelRequests_, {}))
+        request.done_(answer);
 }
 
-// Answers callers that have waited for readBound_ with Unsure. A cancellation that is in flight continues.
-void JobScheduler::answerLateEnders(const JobPtr& job, TimePoint now)
+// Answers callers that have waited for readTimeout_ with Unavailable. A cancellation that is in flight continues.
+void JobScheduler::answerTimedOutCancelRequests(const JobPtr& job, TimePoint now)
 {
-    std::vector<Job::Ender> late;
-    std::erase_if(job->enders_, [&](Job::Ender& ender) {
-        if (now - ender.asked_ < settings_.readBound_)
+    std::vector<Job::CancelRequest> late;
+    std::erase_if(job->cancelRequests_, [&](Job::CancelRequest& request) {
+        if (now - request.requestedAt_ < settings_.readTimeout_)
             return false;
-        late.push_back(std::move(ender));
+        late.push_back(std::move(request));
         return true;
     });
-    for (Job::Ender& ender : late)
-        ender.done_({});
+    for (Job::CancelRequest& request : late)
+        request.done_({});
 }
 
 // Writes a mark that the owner watches for, before a cancellation that bypasses it is acknowledged. The owner may be unreachable from this
 // node, or may have been considered dead and replaced, while it is alive and reaches the engines. Without the mark it would go on starting
 // items of the cancelled job until it next lists the heads, which may take 4 s and may return a stale list. Such cancellations are rare, so
 // the watch costs one call every 15 s.
-void JobScheduler::markEnd(const JobName& name, TimePoint until, const EndDone& done)
+void JobScheduler::writeCancelMark(const JobName& name, TimePoint until, const CancelDone& done)
 {
-    store(ObjectCall::create(endMarkKey(name), "{}"), CallClass::Accept, until, [done](const SettledAnswer& answer, TimePoint) {
+    store(ObjectCall::create(cancelMarkKey(name), "{}"), CallClass::Accept, until, [done](const SettledAnswer& answer, TimePoint) {
         const bool isMarked = answer.ok() || answer.is(ObjectError::Conflict);
-        done({ isMarked ? ReadOutcome::Found : ReadOutcome::Unsure, {} });
+        done({ isMarked ? ReadOutcome::Found : ReadOutcome::Unavailable, {} });
     });
 }
 
-void JobScheduler::endMarked(const JobName& name, TimePoint now)
+void JobScheduler::handleCancelMark(const JobName& name, TimePoint now)
 {
     const auto found = jobs_.find(name);
     // The mark of a job that no node has in memory is of no use. It is removed by the node that would own the job.
     if (found == jobs_.end() && outlets_.preferredOwner_(name, outlets_.self_) != outlets_.self_)
         return;
-    const auto clear = [this, name](bool, TimePoint at) { store(ObjectCall::remove(endMarkKey(name)), CallClass::Background, at + settings_.patience_, [](const SettledAnswer&, TimePoint) {}); };
+    const auto clear = [this, name](bool, TimePoint at) { store(ObjectCall::remove(cancelMarkKey(name)), CallClass::Background, at + settings_.backgroundTimeout_, [](const SettledAnswer&, TimePoint) {}); };
     if (found == jobs_.end())
         return clear(true, now);
     refresh(found->second, now, clear);
@@ -332,21 +332,21 @@
 
 // Cancels the job by updating its head, because the owner can't be reached. The update requires an unchanged version. The owner notices it
 // at its next update of the head or its next scan.
-void JobScheduler::endInStore(const JobName& name, TimePoint now, TimePoint until, EndDone done)
+void JobScheduler::cancelInStore(const JobName& name, TimePoint now, TimePoint until, CancelDone done)
 {
-    lookUp(name, now, [this, name, until, done = std::move(done)](ReadOutcome outcome, JobHead head, ObjectVersion version, TimePoint) {
+    readHead(name, now, [this, name, until, done = std::move(done)](ReadOutcome outcome, JobHead head, ObjectVersion version, TimePoint) {
         if (outcome != ReadOutcome::Found)
             return done({ outcome, {} });
         if (head.state_ != JobState::Open)
             return done({ ReadOutcome::Found, head.owner_ });
-        head.state_ = JobState::Ended;
+        head.state_ = JobState::Cancelled;
         store(ObjectCall::update(headKey(name), encode(head), version), CallClass::Accept, until, [this, name, until, done](const SettledAnswer& answer, TimePoint later) {
             if (answer.ok()) {
-                note(SchedulerNote::JobEnded, name);
-                return markEnd(name, until, done);
+                note(SchedulerNote::JobCancelled, name);
+                return writeCancelMark(name, until, done);
             }
             if (answer.is(ObjectError::Conflict) && later < until)
-                return endInStore(name, later, until, done);
+                return cancelInStore(name, later, until, done);
             done({});
         });
     });
--- a/libs/ledger/src/SchedulerRuns.cpp
+++ b/libs/ledger/src/SchedulerRuns.cpp
@@ -8,18 +8,18 @@
 // Late items come after all others, because running them first would make items late that can still finish in time.
 ItemUrgency JobScheduler::urgencyOf(const Job& job, const Item& item, TimePoint now) const
 {
-    constexpr double leastRest = 0.1;
+    constexpr double minRemaining = 0.1;
     const double done = meanEvents_ > 0 ? item.events_ / meanEvents_ : 0;
-    const Duration rest = fromSeconds(toSeconds(runTime_) * std::max(leastRest, 1 - done));
-    const Duration left = job.due_ - now;
-    if (left < fromSeconds(toSeconds(rest) * settings_.hopelessPart_))
+    const Duration remaining = fromSeconds(toSeconds(runTime_) * std::max(minRemaining, 1 - done));
+    const Duration timeLeft = job.due_ - now;
+    if (timeLeft < fromSeconds(toSeconds(remaining) * settings_.infeasibleFraction_))
         return ItemUrgency::Late;
     // Items that haven't started are deferred if recent items with as little time left finished late. Under overload, items wait until they
     // can only just finish in time without an interruption. They then start, yield to a burst of online requests, and finish late,
     // nearly all of them only slightly, so the work on them is wasted. Deferring them lets the items that have started finish.
-    if (item.begunAt_ == TimePoint() && item.events_ == 0 && left < fromSeconds(toSeconds(rest) * meanStretch_))
+    if (item.firstRunAt_ == TimePoint() && item.events_ == 0 && timeLeft < fromSeconds(toSeconds(remaining) * meanStretch_))
         return ItemUrgency::Doubtful;
-    return left < rest + settings_.urgentMargin_ ? ItemUrgency::Urgent : ItemUrgency::Relaxed;
+    return timeLeft < remaining + settings_.urgentMargin_ ? ItemUrgency::Urgent : ItemUrgency::Relaxed;
 }
 
 ItemUrgency JobScheduler::urgencyOf(RunId run, TimePoint now) const
@@ -66,8 +66,8 @@
     if (leaving_)
         return std::nullopt;
     JobPtr chosen;
-    std::size_t place = 0;
-    ItemUrgency chosenStage = ItemUrgency::Late;
+    std::size_t itemIndex = 0;
+    ItemUrgency chosenUrgency = ItemUrgency::Late;
     for (const auto& [name, job] : jobs_) {
         if (!job->mayRun())
             continue;
@@ -76,32 +76,32 @@
             if (item.state_ != ItemState::Waiting || now < item.notBefore_)
                 continue;
             // Items that can finish in time are ordered by their due time.
-            const ItemUrgency stage = std::max(urgencyOf(*job, item, now), ItemUrgency::Urgent);
-            const bool isBetter = !chosen || (stage != chosenStage ? stage < chosenStage : job->due_ < chosen->due_);
+            const ItemUrgency itemUrgency = std::max(urgencyOf(*job, item, now), ItemUrgency::Urgent);
+            const bool isBetter = !chosen || (itemUrgency != chosenUrgency ? itemUrgency < chosenUrgency : job->due_ < chosen->due_);
             if (!isBetter)
                 continue;
-            const auto carried = outlets_.serviceOf_(job->head_.host_, item.item_.path_);
-            if (!carried || *carried != service)
+            const auto routedService = outlets_.serviceOf_(job->head_.host_, item.item_.path_);
+            if (!routedService || *routedService != service)
                 continue;
             chosen = job;
-            place = index;
-            chosenStage = stage;
+            itemIndex = index;
+            chosenUrgency = itemUrgency;
         }
     }
     if (!chosen)
         return std::nullopt;
-    Item& item = chosen->items_[place];
+    Item& item = chosen->items_[itemIndex];
     auto body = fromBase64(item.item_.body_);
     if (service.empty() || !body) {
         // No configuration routes the item any more, or its body isn't valid base64.
-        finishItem(chosen, place, ResultState::Errored, now);
+        finishItem(chosen, itemIndex, ResultState::Errored, now);
         return std::nullopt;
     }
     item.state_ = ItemState::Running;
     item.run_ = RunId(nextRun_++);
-    if (item.begunAt_ == TimePoint())
-        item.begunAt_ = now;
-    runs_[item.run_] = { chosen->name_, place };
+    if (item.firstRunAt_ == TimePoint())
+        item.firstRunAt_ = now;
+    runs_[item.run_] = { chosen->name_, itemIndex };
     ItemRun run { item.run_, chosen->name_, chosen->head_.host_, item.item_.id_, item.item_.path_, item.item_.headers_, std::move(body.value()), std::nullopt, chosen->due_ };
     if (item.events_ > 0)
         run.resumeAfter_ = item.lastEvent_;
@@ -118,58 +118,58 @@
         item.text_.push_back('\n');
     item.text_.append(data);
     item.lastEvent_ = eventId;
-    item.setbacks_ = 0;
+    item.retries_ = 0;
     ++item.events_;
 }
 
-void JobScheduler::ended(RunId run, RunEnd end, TimePoint now)
+void JobScheduler::ended(RunId run, RunResult end, TimePoint now)
 {
     const auto found = runs_.find(run);
     if (found == runs_.end())
         return;
     const JobPtr job = jobs_.at(found->second.job_);
-    const std::size_t place = found->second.item_;
+    const std::size_t itemIndex = found->second.item_;
     runs_.erase(found);
-    Item& item = job->items_[place];
+    Item& item = job->items_[itemIndex];
     item.state_ = ItemState::Waiting;
     const auto retryLater = [&] {
-        constexpr std::uint32_t mostDoublings = 10;
-        item.notBefore_ = now + std::min<Duration>(settings_.longestRetry_, settings_.firstRetry_ * (1LL << std::min(item.setbacks_, mostDoublings)));
-        ++item.setbacks_;
-        note(SchedulerNote::ItemRetried, job->name_, item.item_.id_, item.setbacks_);
+        constexpr std::uint32_t maxDoublings = 10;
+        item.notBefore_ = now + std::min<Duration>(settings_.maxRetryDelay_, settings_.initialRetryDelay_ * (1LL << std::min(item.retries_, maxDoublings)));
+        ++item.retries_;
+        note(SchedulerNote::ItemRetried, job->name_, item.item_.id_, item.retries_);
     };
     switch (end) {
-    case RunEnd::Completed:
+    case RunResult::Completed:
         // An answer without events is not a valid output of an item.
         if (item.events_ == 0)
             return retryLater();
-        learnStretch(item, now);
-        return finishItem(job, place, ResultState::Completed, now);
-    case RunEnd::GivenWay:
+        updateMeanStretch(item, now);
+        return finishItem(job, itemIndex, ResultState::Completed, now);
+    case RunResult::Preempted:
         return;
-    case RunEnd::Broken:
+    case RunResult::Interrupted:
         return retryLater();
-    case RunEnd::OutOfStep:
-        item.startAnew();
+    case RunResult::ResumeMismatch:
+        item.discardProgress();
         return retryLater();
-    case RunEnd::Failed:
+    case RunResult::Failed:
         ++item.failures_;
         if (item.failures_ >= std::max(1U, job->head_.maxAttempts_))
-            return finishItem(job, place, ResultState::Errored, now);
+            return finishItem(job, itemIndex, ResultState::Errored, now);
         return retryLater();
-    case RunEnd::Impossible:
-    case RunEnd::RouteGone:
-        return finishItem(job, place, ResultState::Errored, now);
+    case RunResult::Unprocessable:
+    case RunResult::RouteRemoved:
+        return finishItem(job, itemIndex, ResultState::Errored, now);
     }
 }
 
-void JobScheduler::learnStretch(const Item& item, TimePoint now)
+void JobScheduler::updateMeanStretch(const Item& item, TimePoint now)
 {
     constexpr double meanGain = 0.1;
     // Limits the weight of a single item that hung for a long time.
-    constexpr double mostStretch = 4;
-    const double stretch = toSeconds(now - item.begunAt_) / std::max(0.001, toSeconds(runTime_));
-    meanStretch_ += meanGain * (std::clamp(stretch, 1.0, mostStretch) - meanStretch_);
+    constexpr double maxStretch = 4;
+    const double stretch = toSeconds(now - item.firstRunAt_) / std::max(0.001, toSeconds(runTime_));
+    meanStretch_ += meanGain * (std::clamp(stretch, 1.0, maxStretch) - meanStretch_);
 }
 
 void JobScheduler::stopRuns(const JobPtr& job, bool keepText)
@@ -181,15 +181,15 @@
         outlets_.stop_(item.run_);
         item.state_ = ItemState::Waiting;
         if (!keepText)
-            item.startAnew();
+            item.discardProgress();
     }
 }
 
 // ---- results
 
-void JobScheduler::finishItem(const JobPtr& job, std::size_t place, ResultState state, TimePoint now)
+void JobScheduler::finishItem(const JobPtr& job, std::size_t itemIndex, ResultState state, TimePoint now)
 {
-    Item& item = job->items_[place];
+    Item& item = job->items_[itemIndex];
     constexpr double meanGain = 0.1;
     if (state == ResultState::Completed)
         meanEvents_ = meanEvents_ > 0 ? meanEvents_ + meanGain * (item.events_ - meanEvents_) : item.events_;
@@ -208,14 +208,14 @@
 void JobScheduler::commitIfDue(const JobPtr& job, TimePoint now)
 {
     // A node that may have been replaced reads the head first, because it must not list results after another owner's fence.
-    if (job->pending_.empty() || job->isCommitting_ || !job->isOpen() || job->suspect_ || now < job->commitAgainAt_)
+    if (job->pending_.empty() || job->isCommitting_ || !job->isOpen() || job->isOwnershipUncertain_ || now < job->retryStoreAt_)
         return;
     // Commits an errored item at once, so that an item that engines reject for good isn't sent again by the next owner when the job is
     // handed over or taken over.
     const bool hasErrored = std::any_of(job->pending_.begin(), job->pending_.end(), [](const JobResult& result) { return result.state_ == ResultState::Errored; });
     const bool isLast = job->listed_.size() + job->pending_.size() >= job->head_.total_;
     const bool isLate = now + settings_.dueMargin_ >= job->due_;
-    const Duration window = std::min<Duration>(settings_.commitWindow_, fromSeconds(toSeconds(job->due_ - now) * settings_.commitPart_));
+    const Duration window = std::min<Duration>(settings_.commitWindow_, fromSeconds(toSeconds(job->due_ - now) * settings_.commitFraction_));
     if (isLast || isLate || hasErrored || now - job->pendingSince_ >= window)
         commit(job, now);
 }
@@ -225,18 +225,18 @@
     job->isCommitting_ = true;
     job->commitSentAt_ = now;
     job->committing_ = std::exchange(job->pending_, {});
-    store(ObjectCall::create(resultPageKey(job->name_, job->pages_), encode(job->committing_)), CallClass::Commit, now + settings_.patience_, [this, job](const SettledAnswer& answer, TimePoint at) {
-        if (owned(job->name_) == job.get())
-            committed(job, answer, at);
+    store(ObjectCall::create(resultPageKey(job->name_, job->pages_), encode(job->committing_)), CallClass::Commit, now + settings_.backgroundTimeout_, [this, job](const SettledAnswer& answer, TimePoint at) {
+        if (findOwnedJob(job->name_) == job.get())
+            finishCommit(job, answer, at);
     });
 }
 
-void JobScheduler::committed(const JobPtr& job, const SettledAnswer& answer, TimePoint now)
+void JobScheduler::finishCommit(const JobPtr& job, const SettledAnswer& answer, TimePoint now)
 {
     job->isCommitting_ = false;
     if (answer.ok()) {
         ++job->pages_;
-        job->checkedAt_ = std::max(job->checkedAt_, job->commitSentAt_);
+        job->confirmedAt_ = std::max(job->confirmedAt_, job->commitSentAt_);
         applyResults(job, std::exchange(job->committing_, {}));
         note(SchedulerNote::Listed, job->name_, {}, job->listed_.size());
         answerReaders(job, now, false);
@@ -245,32 +245,32 @@
     job->pending_.insert(job->pending_.begin(), std::make_move_iterator(job->committing_.begin()), std::make_move_iterator(job->committing_.end()));
     job->committing_.clear();
     if (answer.is(ObjectError::Conflict))
-        return settleConflict(job, now);
+        return resolveConflict(job, now);
     note(SchedulerNote::StoreFailed, job->name_, {}, job->pages_, answer.answer_.error_);
-    job->commitAgainAt_ = now + settings_.storeRetry_;
+    job->retryStoreAt_ = now + settings_.storeRetryDelay_;
 }
 
 // Another owner has written this page. Its results remain; this node reads them and continues after them if it still owns the job.
-void JobScheduler::settleConflict(const JobPtr& job, TimePoint now)
+void JobScheduler::resolveConflict(const JobPtr& job, TimePoint now)
 {
-    note(SchedulerNote::ConflictMet, job->name_, {}, job->pages_);
+    note(SchedulerNote::PageConflict, job->name_, {}, job->pages_);
     job->isCommitting_ = true;
-    store(ObjectCall::get(resultPageKey(job->name_, job->pages_)), CallClass::Commit, now + settings_.patience_, [this, job](const SettledAnswer& answer, TimePoint at) {
-        if (owned(job->name_) != job.get())
+    store(ObjectCall::get(resultPageKey(job->name_, job->pages_)), CallClass::Commit, now + settings_.backgroundTimeout_, [this, job](const SettledAnswer& answer, TimePoint at) {
+        if (findOwnedJob(job->name_) != job.get())
             return;
         job->isCommitting_ = false;
         auto results = answer.ok() ? decodeResults(answer.answer_.value_) : Result<std::vector<JobResult>>(LedgerError::BadRecord);
         if (!results) {
             note(SchedulerNote::StoreFailed, job->name_, {}, job->pages_, answer.ok() ? make_error_code(LedgerError::BadRecord) : answer.answer_.error_);
-            job->commitAgainAt_ = at + settings_.storeRetry_;
+            job->retryStoreAt_ = at + settings_.storeRetryDelay_;
             return;
         }
         ++job->pages_;
         applyResults(job, std::move(results.value()));
         answerReaders(job, at, false);
-        job->suspect_ = true;
-        refresh(job, at, [this, job](bool known, TimePoint later) {
-            if (known)
+        job->isOwnershipUncertain_ = true;
+        refresh(job, at, [this, job](bool isOwner, TimePoint later) {
+            if (isOwner)
                 completeIfDone(job, later);
         });
     });
@@ -278,7 +278,7 @@
 
 void JobScheduler::completeIfDone(const JobPtr& job, TimePoint now)
 {
-    if (!job->isOpen() || !job->isComplete() || job->stateChanging_)
+    if (!job->isOpen() || !job->isComplete() || job->isUpdatingHead_)
         return;
     setState(job, JobState::Done, now, [this, job](bool done, TimePoint at) {
         if (!done)
@@ -294,10 +294,10 @@
 {
     JobHead head = job->head_;
     head.state_ = state;
-    job->stateChanging_ = true;
-    store(ObjectCall::update(headKey(job->name_), encode(head), job->headVersion_), CallClass::Commit, now + settings_.itemsBound_, [this, job, head, then = std::move(then)](const SettledAnswer& answer, TimePoint at) {
-        job->stateChanging_ = false;
-        if (owned(job->name_) != job.get())
+    job->isUpdatingHead_ = true;
+    store(ObjectCall::update(headKey(job->name_), encode(head), job->headVersion_), CallClass::Commit, now + settings_.itemsTimeout_, [this, job, head, then = std::move(then)](const SettledAnswer& answer, TimePoint at) {
+        job->isUpdatingHead_ = false;
+        if (findOwnedJob(job->name_) != job.get())
             return then(false, at);
         if (answer.ok()) {
             job->head_ = head;
@@ -305,7 +305,7 @@
             return then(true, at);
         }
         // Another node changed the head, or the store is unavailable. The head is read before the update is retried.
-        job->commitAgainAt_ = at + settings_.storeRetry_;
+        job->retryStoreAt_ = at + settings_.storeRetryDelay_;
         refresh(job, at, [](bool, TimePoint) {});
         then(false, at);
     });
--- a/libs/ledger/src/KeptJob.cpp
+++ b/libs/ledger/src/SpooledJob.cpp
@@ -1,5 +1,5 @@
 // Lines of an encoded job: checksum of the other lines, rank, job name, head, items. Head and items are JSON without line feeds.
-#include "ledger/KeptJob.h"
+#include "ledger/SpooledJob.h"
 
 #include "base/Hash.h"
 
@@ -13,7 +13,7 @@
     constexpr int decimal = 10;
 
     // Returns the text up to the next separator, and removes it and the separator from `text`.
-    std::string_view takePart(std::string_view& text)
+    std::string_view takeLine(std::string_view& text)
     {
         const std::size_t end = std::min(text.find(separator), text.size());
         const std::string_view part = text.substr(0, end);
@@ -30,28 +30,28 @@
 
 } // namespace
 
-std::string encode(const KeptJob& job)
+std::string encode(const SpooledJob& job)
 {
-    std::string rest = std::to_string(job.rank_);
-    rest.append(1, separator).append(job.submission_.job_);
-    rest.append(1, separator).append(encode(job.submission_.head_));
-    rest.append(1, separator).append(encode(job.submission_.items_));
-    return std::to_string(hash64(rest)).append(1, separator).append(rest);
+    std::string content = std::to_string(job.rank_);
+    content.append(1, separator).append(job.submission_.job_);
+    content.append(1, separator).append(encode(job.submission_.head_));
+    content.append(1, separator).append(encode(job.submission_.items_));
+    return std::to_string(hash64(content)).append(1, separator).append(content);
 }
 
-Result<KeptJob> decodeKept(std::string_view text)
+Result<SpooledJob> decodeSpooledJob(std::string_view text)
 {
     std::uint64_t checksum = 0;
-    if (!readNumber(takePart(text), checksum) || checksum != hash64(text))
+    if (!readNumber(takeLine(text), checksum) || checksum != hash64(text))
         return LedgerError::BadRecord;
-    KeptJob job;
-    if (!readNumber(takePart(text), job.rank_))
+    SpooledJob job;
+    if (!readNumber(takeLine(text), job.rank_))
         return LedgerError::BadRecord;
-    job.submission_.job_ = takePart(text);
+    job.submission_.job_ = takeLine(text);
     if (!isValidJobName(job.submission_.job_))
         return LedgerError::BadRecord;
-    BOOST_OUTCOME_TRY(job.submission_.head_, decodeHead(takePart(text)));
-    BOOST_OUTCOME_TRY(job.submission_.items_, decodeItems(takePart(text)));
+    BOOST_OUTCOME_TRY(job.submission_.head_, decodeHead(takeLine(text)));
+    BOOST_OUTCOME_TRY(job.submission_.items_, decodeItems(takeLine(text)));
     return job;
 }
 
--- a/libs/ledger/tests/EndTest.cpp
+++ b/libs/ledger/tests/CancelTest.cpp
@@ -12,18 +12,18 @@
     world.slots_ = 2;
     world.submit(0, "j", 20, 0);
     world.advance(150ms);
-    std::optional<EndAnswer> ended;
+    std::optional<CancelAnswer> cancelAnswer;
     const std::size_t startedBefore = world.starts_.size();
-    world.scheduler(0).end("j", false, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
+    world.scheduler(0).end("j", false, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
     world.advance(1s);
-    REQUIRE(ended);
-    CHECK(ended->outcome_ == ReadOutcome::Found);
+    REQUIRE(cancelAnswer);
+    CHECK(cancelAnswer->outcome_ == ReadOutcome::Found);
     CHECK(world.starts_.size() == startedBefore);
     CHECK(world.host(0).runs_.empty());
     CHECK(world.read(0, "j").total_ == 20);
 }
 
-// Guards against answering a cancellation with Unsure while the owner is writing the head that marks the job as done. The store
+// Guards against answering a cancellation with Unavailable while the owner is writing the head that marks the job as done. The store
 // answers, and nothing of the job is left to run.
 TEST_CASE("ledger: a cancellation concurrent with the owner's update of the head is acknowledged")
 {
@@ -34,15 +34,15 @@
     while (world.notes_[SchedulerNote::Listed] == 0)
         world.advance(LedgerWorld::step);
     REQUIRE(world.notes_[SchedulerNote::JobDone] == 0);
-    std::vector<ReadOutcome> ends;
+    std::vector<ReadOutcome> outcomes;
     for (int call = 0; call < 2; ++call)
-        world.scheduler(0).end("j", false, world.now(), [&ends](const EndAnswer& answer) { ends.push_back(answer.outcome_); });
+        world.scheduler(0).end("j", false, world.now(), [&outcomes](const CancelAnswer& answer) { outcomes.push_back(answer.outcome_); });
     world.advance(1s);
-    CHECK(ends == std::vector { ReadOutcome::Found, ReadOutcome::Found });
+    CHECK(outcomes == std::vector { ReadOutcome::Found, ReadOutcome::Found });
     world.checkResults("j");
 }
 
-// Guards against answering a repeated cancellation with Unsure while the first one is still being written, which made the client
+// Guards against answering a repeated cancellation with Unavailable while the first one is still being written, which made the client
 // repeat the call.
 TEST_CASE("ledger: a repeated cancellation waits for the first one")
 {
@@ -50,42 +50,42 @@
     world.store_.faults().delay_ = 200ms;
     world.submit(0, "j", 20, 0);
     world.advance(1s);
-    std::vector<ReadOutcome> ends;
+    std::vector<ReadOutcome> outcomes;
     for (int call = 0; call < 2; ++call)
-        world.scheduler(0).end("j", false, world.now(), [&ends](const EndAnswer& answer) { ends.push_back(answer.outcome_); });
+        world.scheduler(0).end("j", false, world.now(), [&outcomes](const CancelAnswer& answer) { outcomes.push_back(answer.outcome_); });
     world.advance(1s);
-    CHECK(ends == std::vector { ReadOutcome::Found, ReadOutcome::Found });
-    CHECK(world.notes_[SchedulerNote::JobEnded] == 1);
+    CHECK(outcomes == std::vector { ReadOutcome::Found, ReadOutcome::Found });
+    CHECK(world.notes_[SchedulerNote::JobCancelled] == 1);
 }
 
 // The owner is handing the job over when the cancellation arrives. The caller is directed to the new owner. If the store stops answering
-// during the handover, the caller gets Unsure after the timeout of a read.
+// during the handover, the caller gets Unavailable after the timeout of a read.
 TEST_CASE("ledger: a cancellation during a handover is redirected to the new owner or answered in time")
 {
     LedgerWorld world(16);
     world.store_.faults().delay_ = 200ms;
-    world.pace_ = 1000; // no result is pending, so the handover begins at once
+    world.stepsPerEvent_ = 1000; // no result is pending, so the handover begins at once
     world.submit(1, "j", 20, 0);
     world.advance(1s);
     world.leaving_.insert(world.host(0).id_);
     world.scheduler(0).beginLeaving(world.now());
-    std::optional<EndAnswer> ended;
-    const auto end = [&] { world.scheduler(0).end("j", false, world.now(), [&ended](const EndAnswer& answer) { ended = answer; }); };
+    std::optional<CancelAnswer> cancelAnswer;
+    const auto end = [&] { world.scheduler(0).end("j", false, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; }); };
     SUBCASE("the change arrives")
     {
         end();
         world.advance(1s);
-        REQUIRE(ended);
-        CHECK(ended->outcome_ == ReadOutcome::Elsewhere);
-        CHECK(ended->owner_ == world.host(1).id_);
+        REQUIRE(cancelAnswer);
+        CHECK(cancelAnswer->outcome_ == ReadOutcome::OtherOwner);
+        CHECK(cancelAnswer->owner_ == world.host(1).id_);
     }
     SUBCASE("the store is silent")
     {
-        world.host(0).storeCut_ = true;
+        world.host(0).isStoreUnreachable_ = true;
         end();
-        world.advance(SchedulerSettings().readBound_ + 50ms);
-        REQUIRE(ended);
-        CHECK(ended->outcome_ == ReadOutcome::Unsure);
+        world.advance(SchedulerSettings().readTimeout_ + 50ms);
+        REQUIRE(cancelAnswer);
+        CHECK(cancelAnswer->outcome_ == ReadOutcome::Unavailable);
     }
 }
 
@@ -95,14 +95,14 @@
     world.submit(0, "j", 20, 1);
     world.advance(60ms);
     for (const bool force : { false, true, true }) {
-        std::optional<EndAnswer> ended;
-        world.scheduler(force ? 0 : 1).end("j", force, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
+        std::optional<CancelAnswer> cancelAnswer;
+        world.scheduler(force ? 0 : 1).end("j", force, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
         world.advance(500ms);
-        REQUIRE(ended);
-        CHECK(ended->outcome_ == ReadOutcome::Found);
+        REQUIRE(cancelAnswer);
+        CHECK(cancelAnswer->outcome_ == ReadOutcome::Found);
     }
-    std::optional<EndAnswer> unknown;
-    world.scheduler(0).end("none", false, world.now(), [&unknown](const EndAnswer& answer) { unknown = answer; });
+    std::optional<CancelAnswer> unknown;
+    world.scheduler(0).end("none", false, world.now(), [&unknown](const CancelAnswer& answer) { unknown = answer; });
     world.advance(500ms);
     CHECK(unknown->outcome_ == ReadOutcome::Missing);
 }
@@ -113,26 +113,26 @@
 {
     LedgerWorld world(18);
     world.slots_ = 1;
-    world.pace_ = 40;
+    world.stepsPerEvent_ = 40;
     world.submit(0, "j", 20, 1);
     world.advance(100ms);
-    std::optional<EndAnswer> ended;
-    world.scheduler(0).end("j", true, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
+    std::optional<CancelAnswer> cancelAnswer;
+    world.scheduler(0).end("j", true, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
     world.advance(100ms);
-    REQUIRE(ended);
-    CHECK(ended->outcome_ == ReadOutcome::Found);
-    REQUIRE(world.store_.core().objects().contains(endMarkKey("j")));
-    world.scheduler(1).endMarked("j", world.now());
+    REQUIRE(cancelAnswer);
+    CHECK(cancelAnswer->outcome_ == ReadOutcome::Found);
+    REQUIRE(world.store_.core().objects().contains(cancelMarkKey("j")));
+    world.scheduler(1).handleCancelMark("j", world.now());
     world.advance(50ms);
     CHECK(world.host(1).runs_.empty());
-    CHECK_FALSE(world.store_.core().objects().contains(endMarkKey("j")));
+    CHECK_FALSE(world.store_.core().objects().contains(cancelMarkKey("j")));
     // If the first answer was lost, the repeated call writes the mark again, because the owner may have missed the first mark.
-    ended.reset();
-    world.scheduler(0).end("j", true, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
+    cancelAnswer.reset();
+    world.scheduler(0).end("j", true, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
     world.advance(100ms);
-    REQUIRE(ended);
-    CHECK(ended->outcome_ == ReadOutcome::Found);
-    CHECK(world.store_.core().objects().contains(endMarkKey("j")));
+    REQUIRE(cancelAnswer);
+    CHECK(cancelAnswer->outcome_ == ReadOutcome::Found);
+    CHECK(world.store_.core().objects().contains(cancelMarkKey("j")));
 }
 
 // Guards against an owner that was considered dead but is alive, and goes on running items of a job after its successor acknowledged a
@@ -141,44 +141,44 @@
 {
     LedgerWorld world(21);
     world.slots_ = 1;
-    world.pace_ = 400;
+    world.stepsPerEvent_ = 400;
     world.submit(0, "j", 20, 1);
     world.advance(100ms);
     REQUIRE_FALSE(world.host(1).runs_.empty());
-    world.believeDead(0, 1);
+    world.markDeadFor(0, 1);
     world.scheduler(0).scan(false, world.now());
     world.advance(200ms);
     REQUIRE(world.notes_[SchedulerNote::TakenOver] == 1);
-    std::optional<EndAnswer> ended;
-    world.scheduler(0).end("j", false, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
+    std::optional<CancelAnswer> cancelAnswer;
+    world.scheduler(0).end("j", false, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
     world.advance(200ms);
-    REQUIRE(ended);
-    CHECK(ended->outcome_ == ReadOutcome::Found);
-    REQUIRE(world.store_.core().objects().contains(endMarkKey("j")));
-    world.scheduler(1).endMarked("j", world.now());
+    REQUIRE(cancelAnswer);
+    CHECK(cancelAnswer->outcome_ == ReadOutcome::Found);
+    REQUIRE(world.store_.core().objects().contains(cancelMarkKey("j")));
+    world.scheduler(1).handleCancelMark("j", world.now());
     world.advance(100ms);
     CHECK(world.host(1).runs_.empty());
 }
 
 // Guards against acknowledging a cancellation whose mark can't be written: the owner may still start items, so the caller must get
-// Unsure and repeat the call.
+// Unavailable and repeat the call.
 TEST_CASE("ledger: a cancellation that bypasses the owner is not acknowledged without its mark")
 {
     LedgerWorld world(19);
-    world.pace_ = 40;
+    world.stepsPerEvent_ = 40;
     world.submit(0, "j", 20, 1);
     world.advance(100ms);
-    std::optional<EndAnswer> ended;
+    std::optional<CancelAnswer> cancelAnswer;
     world.store_.faults().delay_ = 100ms;
-    world.scheduler(0).end("j", true, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
-    const auto stateInStore = [&world] { return decodeHead(world.store_.core().objects().find(headKey("j"))->second.value_).value().state_; };
-    while (stateInStore() == JobState::Open)
+    world.scheduler(0).end("j", true, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
+    const auto storedState = [&world] { return decodeHead(world.store_.core().objects().find(headKey("j"))->second.value_).value().state_; };
+    while (storedState() == JobState::Open)
         world.advance(LedgerWorld::step);
-    REQUIRE(world.notes_[SchedulerNote::JobEnded] == 0);
-    world.host(0).storeCut_ = true; // the answer to the pending call arrives, but no further call reaches the store
+    REQUIRE(world.notes_[SchedulerNote::JobCancelled] == 0);
+    world.host(0).isStoreUnreachable_ = true; // the answer to the pending call arrives, but no further call reaches the store
     world.advance(2s);
-    REQUIRE(ended);
-    CHECK(ended->outcome_ == ReadOutcome::Unsure);
+    REQUIRE(cancelAnswer);
+    CHECK(cancelAnswer->outcome_ == ReadOutcome::Unavailable);
 }
 
 // The node that takes the cancellation can't reach the owner and updates the head in the store. The owner is still running items, and stops
@@ -187,14 +187,14 @@
 {
     LedgerWorld world(7);
     world.slots_ = 1;
-    world.pace_ = 40;
+    world.stepsPerEvent_ = 40;
     world.submit(0, "j", 20, 1);
     world.advance(100ms);
-    std::optional<EndAnswer> ended;
-    world.scheduler(0).end("j", true, world.now(), [&ended](const EndAnswer& answer) { ended = answer; });
+    std::optional<CancelAnswer> cancelAnswer;
+    world.scheduler(0).end("j", true, world.now(), [&cancelAnswer](const CancelAnswer& answer) { cancelAnswer = answer; });
     world.advance(100ms);
-    REQUIRE(ended);
-    CHECK(ended->outcome_ == ReadOutcome::Found);
+    REQUIRE(cancelAnswer);
+    CHECK(cancelAnswer->outcome_ == ReadOutcome::Found);
     world.scheduler(1).scan(true, world.now());
     world.advance(100ms);
     CHECK(world.host(1).runs_.empty());
--- a/libs/ledger/tests/CommitTest.cpp
+++ b/libs/ledger/tests/CommitTest.cpp
@@ -10,7 +10,7 @@
 
 // Returns the number of steps between two events for runs of the given duration. A run consists of three events and its end at equal
 // intervals.
-constexpr int paceOf(Duration run) { return static_cast<int>(run / LedgerWorld::step / (LedgerWorld::eventsPerItem + 1)); }
+constexpr int stepsPerEventOf(Duration run) { return static_cast<int>(run / LedgerWorld::step / (LedgerWorld::eventsPerItem + 1)); }
 
 std::size_t pagesOf(LedgerWorld& world, const JobName& job)
 {
@@ -25,7 +25,7 @@
 TEST_CASE("ledger: results that finish within a second share a page, and the last one is committed at once")
 {
     LedgerWorld world(31, 2, SchedulerSettings());
-    world.pace_ = paceOf(5s);
+    world.stepsPerEvent_ = stepsPerEventOf(5s);
     world.slots_ = 1;
     world.submit(0, "j", 10, 1);
     // Slots become free one after the other, so results are ready in groups of four, 250 ms apart.
@@ -42,7 +42,7 @@
 TEST_CASE("ledger: results that are ready long before their job is due share pages over two seconds")
 {
     LedgerWorld world(33, 2, SchedulerSettings());
-    world.pace_ = paceOf(1s);
+    world.stepsPerEvent_ = stepsPerEventOf(1s);
     world.slots_ = 1;
     world.submit(0, "j", 10, 1);
     world.advance(14s);
@@ -55,9 +55,9 @@
 TEST_CASE("ledger: an item that can never succeed is listed at once")
 {
     LedgerWorld world(34, 2, SchedulerSettings());
-    world.pace_ = 5; // runs of 100 ms
+    world.stepsPerEvent_ = 5; // runs of 100 ms
     world.slots_ = 1;
-    world.endOf_ = [](const ItemRun&) { return RunEnd::Impossible; };
+    world.runOutcome_ = [](const ItemRun&) { return RunResult::Unprocessable; };
     world.submit(0, "j", 10, 1);
     while (world.notes_[SchedulerNote::ItemErrored] == 0)
         world.advance(LedgerWorld::step);
@@ -70,7 +70,7 @@
 TEST_CASE("ledger: a result that is ready just before its job is due is listed at once")
 {
     LedgerWorld world(32, 2, SchedulerSettings());
-    world.pace_ = paceOf(5800ms);
+    world.stepsPerEvent_ = stepsPerEventOf(5800ms);
     world.slots_ = 1;
     world.submit(0, "j", 10, 1);
     // Runs of 5.8 s follow each other, so the third one ends 0.6 s before the job is due.
--- a/libs/ledger/tests/ExploreTest.cpp
+++ b/libs/ledger/tests/ExploreTest.cpp
@@ -20,10 +20,10 @@
 // What a caller has seen of a job. Later reads must not contradict it.
 struct Seen {
     std::vector<JobResult> results_;
-    bool acknowledged_ = false;
+    bool isAcknowledged_ = false;
     std::size_t submissions_ = 0;
     std::size_t refusals_ = 0; // number of submissions answered with NotAccepted; a submission whose node died gets no answer
-    bool endAsked_ = false; // a cancellation without an answer may still take effect
+    bool isCancelRequested_ = false; // a cancellation without an answer may still take effect
 };
 
 class Schedule {
@@ -33,7 +33,7 @@
         , random_(seed * 7919 + 1)
     {
         world_.slots_ = 2 + pick(4);
-        world_.pace_ = 1 + static_cast<int>(pick(6));
+        world_.stepsPerEvent_ = 1 + static_cast<int>(pick(6));
     }
 
     void run()
@@ -41,15 +41,15 @@
         const std::size_t jobs = 1 + pick(2);
         for (std::size_t job = 0; job < jobs; ++job)
             submit("j" + std::to_string(job));
-        for (int turns = 0; turns < 14; ++turns) {
-            disturb();
+        for (int rounds = 0; rounds < 14; ++rounds) {
+            injectFault();
             world_.advance(30ms + std::chrono::milliseconds(pick(300)));
-            look();
+            readJobs();
         }
-        heal();
+        removeFaults();
         world_.advance(7s);
-        for (std::size_t place = 0; place < hosts; ++place)
-            world_.scheduler(place).scan(false, world_.now());
+        for (std::size_t index = 0; index < hosts; ++index)
+            world_.scheduler(index).scan(false, world_.now());
         world_.advance(8s);
         check();
     }
@@ -61,7 +61,7 @@
     {
         seen_.try_emplace(job);
         const std::size_t through = pick(hosts);
-        if (!usable(through))
+        if (!isUsable(through))
             return;
         ++seen_[job].submissions_;
         const std::uint32_t items = 2 + static_cast<std::uint32_t>(job.back() - '0') * 3;
@@ -71,39 +71,39 @@
             world_.take(through, job, items);
     }
 
-    void disturb()
+    void injectFault()
     {
-        const std::size_t place = pick(hosts);
-        LedgerWorld::Host& host = world_.host(place);
+        const std::size_t index = pick(hosts);
+        LedgerWorld::Host& host = world_.host(index);
         switch (pick(14)) {
         case 0:
-            if (host.alive_)
-                world_.kill(place);
+            if (host.isAlive_)
+                world_.kill(index);
             break;
         case 1:
-            if (!host.alive_) {
-                host.paused_ = false;
+            if (!host.isAlive_) {
+                host.isPaused_ = false;
                 // The two copies of a job tolerate the loss of one disk, so only one host ever loses its disk.
-                if (place == weakDisk_ && pick(2) == 0)
-                    world_.wipe(place);
-                world_.start(place);
-                world_.scheduler(place).tick(world_.now(), world_.wall());
-                world_.scheduler(place).scan(false, world_.now());
+                if (index == failingDiskHost_ && pick(2) == 0)
+                    world_.wipeDisk(index);
+                world_.start(index);
+                world_.scheduler(index).tick(world_.now(), world_.wall());
+                world_.scheduler(index).scan(false, world_.now());
             }
             break;
         case 2:
-            if (host.alive_)
-                world_.pause(place);
+            if (host.isAlive_)
+                world_.pause(index);
             break;
         case 3:
-            if (host.paused_)
-                world_.wake(place);
+            if (host.isPaused_)
+                world_.resume(index);
             break;
         case 4:
-            world_.bury(place);
+            world_.markDead(index);
             break;
         case 5:
-            world_.bury(place, false);
+            world_.markDead(index, false);
             break;
         case 6:
             world_.store_.loseNextAnswer();
@@ -121,48 +121,48 @@
             world_.store_.faults().lostAfter_ = pick(2) == 0 ? 0 : 0.2;
             break;
         case 11:
-            if (usable(place))
-                world_.scheduler(place).scan(pick(2) == 0, world_.now());
+            if (isUsable(index))
+                world_.scheduler(index).scan(pick(2) == 0, world_.now());
             break;
         case 12:
             submit("j" + std::to_string(pick(seen_.size())));
             break;
         case 13:
             if (pick(3) == 0)
-                end("j" + std::to_string(pick(seen_.size())), place);
+                end("j" + std::to_string(pick(seen_.size())), index);
             else
                 world_.loseTransfers_ = !world_.loseTransfers_;
             break;
         }
     }
 
-    bool usable(std::size_t place) { return world_.host(place).alive_ && !world_.host(place).paused_; }
+    bool isUsable(std::size_t index) { return world_.host(index).isAlive_ && !world_.host(index).isPaused_; }
 
-    void end(const JobName& job, std::size_t place)
+    void end(const JobName& job, std::size_t index)
     {
-        if (!usable(place))
+        if (!isUsable(index))
             return;
-        seen_[job].endAsked_ = true;
-        world_.scheduler(place).end(job, pick(2) == 0, world_.now(), [](const EndAnswer&) {});
+        seen_[job].isCancelRequested_ = true;
+        world_.scheduler(index).end(job, pick(2) == 0, world_.now(), [](const CancelAnswer&) {});
     }
 
-    void look()
+    void readJobs()
     {
         for (auto& [job, seen] : seen_) {
             seen.refusals_ = 0;
             for (const AcceptOutcome outcome : world_.outcomes_[job]) {
-                seen.acknowledged_ = seen.acknowledged_ || outcome == AcceptOutcome::Accepted || outcome == AcceptOutcome::AlreadyAccepted || outcome == AcceptOutcome::Kept;
+                seen.isAcknowledged_ = seen.isAcknowledged_ || outcome == AcceptOutcome::Accepted || outcome == AcceptOutcome::AlreadyAccepted || outcome == AcceptOutcome::Spooled;
                 seen.refusals_ += outcome == AcceptOutcome::NotAccepted ? 1 : 0;
             }
-            const std::size_t place = pick(hosts);
-            if (!usable(place))
+            const std::size_t index = pick(hosts);
+            if (!isUsable(index))
                 continue;
-            const bool wasAcknowledged = seen.acknowledged_;
-            world_.scheduler(place).read(job, 0, {}, pick(3) == 0, world_.now(), [this, job = job, wasAcknowledged](const ReadAnswer& answer) { saw(job, answer, wasAcknowledged); });
+            const bool wasAcknowledged = seen.isAcknowledged_;
+            world_.scheduler(index).read(job, 0, {}, pick(3) == 0, world_.now(), [this, job = job, wasAcknowledged](const ReadAnswer& answer) { checkRead(job, answer, wasAcknowledged); });
         }
     }
 
-    void saw(const JobName& job, const ReadAnswer& answer, bool wasAcknowledged)
+    void checkRead(const JobName& job, const ReadAnswer& answer, bool wasAcknowledged)
     {
         // A read never reports an acknowledged job as missing.
         if (answer.outcome_ == ReadOutcome::Missing)
@@ -176,26 +176,26 @@
             known = answer.results_;
     }
 
-    void heal()
+    void removeFaults()
     {
         world_.store_.core().setOutage(false);
         world_.store_.faults() = VirtualStoreFaults();
         world_.loseTransfers_ = false;
-        for (std::size_t place = 0; place < hosts; ++place) {
-            if (!world_.host(place).alive_)
-                world_.start(place);
-            if (world_.host(place).paused_)
-                world_.wake(place);
-            world_.bury(place, false);
+        for (std::size_t index = 0; index < hosts; ++index) {
+            if (!world_.host(index).isAlive_)
+                world_.start(index);
+            if (world_.host(index).isPaused_)
+                world_.resume(index);
+            world_.markDead(index, false);
         }
         world_.advance(100ms);
-        for (std::size_t place = 0; place < hosts; ++place)
-            world_.scheduler(place).scan(false, world_.now());
+        for (std::size_t index = 0; index < hosts; ++index)
+            world_.scheduler(index).scan(false, world_.now());
     }
 
     void check()
     {
-        look();
+        readJobs();
         world_.advance(500ms);
         for (const auto& entry : seen_) {
             const JobName& job = entry.first;
@@ -205,7 +205,7 @@
             const auto stored = world_.stored(job);
             REQUIRE(stored.size() >= seen.results_.size());
             CHECK(std::equal(seen.results_.begin(), seen.results_.end(), stored.begin()));
-            if (seen.acknowledged_ && !seen.endAsked_)
+            if (seen.isAcknowledged_ && !seen.isCancelRequested_)
                 CHECK(stored.size() == 2 + static_cast<std::size_t>(job.back() - '0') * 3);
             // All submissions of this job were refused as "not run", so none of its items may have run.
             if (seen.submissions_ > 0 && seen.refusals_ == seen.submissions_) {
@@ -218,7 +218,7 @@
     LedgerWorld world_;
     std::mt19937_64 random_;
     std::map<JobName, Seen> seen_;
-    const std::size_t weakDisk_ = pick(hosts);
+    const std::size_t failingDiskHost_ = pick(hosts);
 };
 
 } // namespace
--- a/libs/ledger/tests/LedgerWorld.h
+++ b/libs/ledger/tests/LedgerWorld.h
@@ -55,61 +55,61 @@
     static constexpr Duration step = 5ms;
     // The number of disks that may be lost at a time, plus one.
     static constexpr std::size_t copies = 2;
-    static constexpr Duration keepBound = 600ms;
+    static constexpr Duration spoolTimeout = 600ms;
     static constexpr WallTime wallStart { std::chrono::milliseconds(1'000'000'000) };
 
     struct Host {
         NodeId id_;
-        bool alive_ = true; // the process runs
-        bool paused_ = false; // the process is suspended
-        bool storeCut_ = false; // calls to the store are dropped
+        bool isAlive_ = true; // the process runs
+        bool isPaused_ = false; // the process is suspended
+        bool isStoreUnreachable_ = false; // calls to the store are dropped
         std::unique_ptr<CallQueue> queue_;
         std::unique_ptr<JobScheduler> scheduler_;
         std::unique_ptr<Acceptor> acceptor_;
         MemoryDisk disk_;
         std::unique_ptr<JobSpool<MemoryDisk>> spool_;
         std::unique_ptr<JobIntake> intake_;
-        std::uint64_t life_ = 0; // incremented with each process; callbacks of earlier processes are ignored
+        std::uint64_t incarnation_ = 0; // incremented with each process; callbacks of earlier processes are ignored
         std::vector<ItemRun> runs_; // runs on the engines
-        std::map<RunId, std::uint32_t> sent_; // number of steps that each run has taken
-        std::set<NodeId> deadTo_; // hosts that this host considers dead
+        std::map<RunId, std::uint32_t> stepCounts_; // number of steps that each run has taken
+        std::set<NodeId> consideredDead_; // hosts that this host considers dead
         bool mayBeReplaced_ = false; // as reported by the host's fleet view
-        std::vector<std::function<void()>> held_; // messages that arrived while the host was paused
+        std::vector<std::function<void()>> heldMessages_; // messages that arrived while the host was paused
     };
 
     // Settings with a short commit window. Items take about 15 ms here, so a job gets several pages, and failures can happen between two
     // pages.
-    static SchedulerSettings quickPages()
+    static SchedulerSettings shortCommitWindow()
     {
         SchedulerSettings settings;
         settings.commitWindow_ = 300ms;
         return settings;
     }
 
-    explicit LedgerWorld(std::uint64_t seed, std::size_t hosts = 2, const SchedulerSettings& scheduler = quickPages())
+    explicit LedgerWorld(std::uint64_t seed, std::size_t hosts = 2, const SchedulerSettings& scheduler = shortCommitWindow())
         : scheduler_(scheduler)
         , store_(seed, MemoryStoreSettings { 0, 0, 1s, 100'000, 50 })
         , random_(seed)
     {
-        for (std::size_t place = 0; place < hosts; ++place) {
+        for (std::size_t index = 0; index < hosts; ++index) {
             hosts_.push_back(std::make_unique<Host>());
-            hosts_.back()->id_ = NodeId(100 + place);
-            start(place);
+            hosts_.back()->id_ = NodeId(100 + index);
+            start(index);
         }
     }
 
-    Host& host(std::size_t place) { return *hosts_[place]; }
-    JobScheduler& scheduler(std::size_t place) { return *hosts_[place]->scheduler_; }
+    Host& host(std::size_t index) { return *hosts_[index]; }
+    JobScheduler& scheduler(std::size_t index) { return *hosts_[index]->scheduler_; }
     TimePoint now() const { return now_; }
     WallTime wall() const { return wallStart + std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()) + wallShift_; }
 
-    void start(std::size_t place)
+    void start(std::size_t index)
     {
-        Host& host = *hosts_[place];
-        ++host.life_;
-        host.alive_ = true;
+        Host& host = *hosts_[index];
+        ++host.incarnation_;
+        host.isAlive_ = true;
         host.runs_.clear();
-        host.sent_.clear();
+        host.stepCounts_.clear();
         CallQueueSettings queue;
         queue.budget_.readsPerSecond_ = 1e6;
         queue.budget_.writesPerSecond_ = 1e6;
@@ -118,17 +118,17 @@
         queue.longestBackoff_ = 200ms;
         queue.answerBound_ = 1s;
         host.queue_ = std::make_unique<CallQueue>(queue, random_());
-        LedgerStore send = [this, place, life = host.life_](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) {
-            Host& own = *hosts_[place];
-            if (own.life_ == life)
+        LedgerStore send = [this, index, incarnation = host.incarnation_](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) {
+            Host& own = *hosts_[index];
+            if (own.incarnation_ == incarnation)
                 own.queue_->send(std::move(call), callClass, until, std::move(done));
         };
         SchedulerOutlets outlets;
         outlets.store_ = send;
         outlets.self_ = host.id_;
-        outlets.isLive_ = [this, place](NodeId node) { return !hosts_[place]->deadTo_.contains(node); };
-        outlets.preferredOwner_ = [this, place](std::string_view, NodeId) { return preferred(place); };
-        outlets.stop_ = [this, place](RunId run) { std::erase_if(hosts_[place]->runs_, [run](const ItemRun& one) { return one.id_ == run; }); };
+        outlets.isLive_ = [this, index](NodeId node) { return !hosts_[index]->consideredDead_.contains(node); };
+        outlets.preferredOwner_ = [this, index](std::string_view, NodeId) { return preferredOwner(index); };
+        outlets.stop_ = [this, index](RunId run) { std::erase_if(hosts_[index]->runs_, [run](const ItemRun& one) { return one.id_ == run; }); };
         outlets.transfer_ = [this](NodeId to, const JobTransfer& job) {
             for (std::size_t other = 0; other < hosts_.size(); ++other) {
                 if (hosts_[other]->id_ == to && !loseTransfers_)
@@ -137,54 +137,54 @@
         };
         outlets.note_ = [this](const SchedulerEvent& event) { ++notes_[event.note_]; };
         outlets.serviceOf_ = [this](std::string_view, std::string_view) { return service_; };
-        outlets.mayBeReplaced_ = [this, place] { return hosts_[place]->mayBeReplaced_; };
+        outlets.mayBeReplaced_ = [this, index] { return hosts_[index]->mayBeReplaced_; };
         // In reality, hosts notify each other within milliseconds whether they have spooled jobs.
-        outlets.mayBeKept_ = [this] { return std::any_of(hosts_.begin(), hosts_.end(), [](const auto& each) { return !each->disk_.texts_->empty(); }); };
+        outlets.mayBeSpooled_ = [this] { return std::any_of(hosts_.begin(), hosts_.end(), [](const auto& each) { return !each->disk_.texts_->empty(); }); };
         host.scheduler_ = std::make_unique<JobScheduler>(scheduler_, std::move(outlets));
         host.acceptor_ = std::make_unique<Acceptor>(send);
-        startIntake(place, send);
+        startIntake(index, send);
     }
 
     // Empties the host's disk.
-    void wipe(std::size_t place) { hosts_[place]->disk_.texts_->clear(); }
+    void wipeDisk(std::size_t index) { hosts_[index]->disk_.texts_->clear(); }
 
     // Submits a job through the host's intake, which writes it to the store or spools it.
-    void take(std::size_t place, const JobName& job, std::uint32_t items)
+    void take(std::size_t index, const JobName& job, std::uint32_t items)
     {
-        hosts_[place]->intake_->submit(submission(job, items), 2s, now_, wall(), [this, job](const IntakeAnswer& answer, TimePoint) { outcomes_[job].push_back(answer.outcome_); });
+        hosts_[index]->intake_->submit(submission(job, items), 2s, now_, wall(), [this, job](const IntakeAnswer& answer, TimePoint) { outcomes_[job].push_back(answer.outcome_); });
     }
 
-    void kill(std::size_t place)
+    void kill(std::size_t index)
     {
-        Host& host = *hosts_[place];
-        host.alive_ = false;
+        Host& host = *hosts_[index];
+        host.isAlive_ = false;
         host.runs_.clear();
-        host.held_.clear();
-        ++host.life_;
+        host.heldMessages_.clear();
+        ++host.incarnation_;
     }
 
     // Makes one host consider another one dead, although that one continues to run.
-    void believeDead(std::size_t believer, std::size_t host) { hosts_[believer]->deadTo_.insert(hosts_[host]->id_); }
+    void markDeadFor(std::size_t observer, std::size_t host) { hosts_[observer]->consideredDead_.insert(hosts_[host]->id_); }
 
     // Makes all other hosts consider this host dead, or alive again.
-    void bury(std::size_t place, bool dead = true)
+    void markDead(std::size_t index, bool dead = true)
     {
         for (auto& host : hosts_) {
-            if (host->id_ == hosts_[place]->id_)
+            if (host->id_ == hosts_[index]->id_)
                 continue;
             if (dead)
-                host->deadTo_.insert(hosts_[place]->id_);
+                host->consideredDead_.insert(hosts_[index]->id_);
             else
-                host->deadTo_.erase(hosts_[place]->id_);
+                host->consideredDead_.erase(hosts_[index]->id_);
         }
     }
 
-    void pause(std::size_t place) { hosts_[place]->paused_ = true; }
-    void wake(std::size_t place)
+    void pause(std::size_t index) { hosts_[index]->isPaused_ = true; }
+    void resume(std::size_t index)
     {
-        hosts_[place]->paused_ = false;
+        hosts_[index]->isPaused_ = false;
         // Messages held during the pause are delivered before the first tick, which detects the gap.
-        for (const auto& action : std::exchange(hosts_[place]->held_, {}))
+        for (const auto& action : std::exchange(hosts_[index]->heldMessages_, {}))
             action();
     }
 
@@ -196,15 +196,15 @@
         submission.head_.runTarget_ = 18s;
         submission.head_.abandonAfter_ = 60s;
         submission.head_.maxAttempts_ = 3;
-        for (std::uint32_t place = 0; place < items; ++place)
-            submission.items_.push_back({ job + "-" + std::to_string(place), "/p/" + std::to_string(place), {}, "YQ==" });
+        for (std::uint32_t index = 0; index < items; ++index)
+            submission.items_.push_back({ job + "-" + std::to_string(index), "/p/" + std::to_string(index), {}, "YQ==" });
         return submission;
     }
 
     // Submits a job through one host, to be owned by another one. The outcome is appended to outcomes_ when it is known.
-    void submit(std::size_t place, const JobName& job, std::uint32_t items, std::size_t owner)
+    void submit(std::size_t index, const JobName& job, std::uint32_t items, std::size_t owner)
     {
-        Host& host = *hosts_[place];
+        Host& host = *hosts_[index];
         const NodeId ownerId = hosts_[owner]->id_;
         host.acceptor_->accept(submission(job, items), ownerId, 2s, now_, wall(), [this, job, owner](const Acceptance& acceptance, TimePoint) {
             outcomes_[job].push_back(acceptance.outcome_);
@@ -222,19 +222,19 @@
         while (now_ < end) {
             now_ += step;
             store_.advanceTo(now_);
-            endAsks();
-            for (std::size_t place = 0; place < hosts_.size(); ++place) {
-                if (hosts_[place]->alive_ && !hosts_[place]->paused_)
-                    turn(place);
+            expireSpoolRequests();
+            for (std::size_t index = 0; index < hosts_.size(); ++index) {
+                if (hosts_[index]->isAlive_ && !hosts_[index]->isPaused_)
+                    runHost(index);
             }
         }
     }
 
-    ReadAnswer read(std::size_t place, const JobName& job, std::uint32_t after = 0, Duration wait = {}, bool force = false)
+    ReadAnswer read(std::size_t index, const JobName& job, std::uint32_t after = 0, Duration wait = {}, bool force = false)
     {
         std::optional<ReadAnswer> got;
-        scheduler(place).read(job, after, wait, force, now_, [&got](ReadAnswer answer) { got = std::move(answer); });
-        for (int turns = 0; turns < 400 && !got; ++turns)
+        scheduler(index).read(job, after, wait, force, now_, [&got](ReadAnswer answer) { got = std::move(answer); });
+        for (int steps = 0; steps < 400 && !got; ++steps)
             advance(step);
         REQUIRE(got);
         return *got;
@@ -254,7 +254,7 @@
         }
     }
 
-    static std::string wholeText()
+    static std::string completeText()
     {
         std::string text;
         for (std::uint32_t event = 1; event <= eventsPerItem; ++event)
@@ -270,7 +270,7 @@
             CAPTURE(result.item_);
             CHECK(seen.insert(result.item_).second);
             if (result.state_ == ResultState::Completed)
-                CHECK(result.text_ == wholeText());
+                CHECK(result.text_ == completeText());
         }
     }
 
@@ -283,48 +283,48 @@
     std::optional<std::string> service_ = "s";
     std::vector<std::string> starts_; // the item of each run that was started, in order
     std::size_t slots_ = 4; // maximum number of concurrent runs per host
-    int pace_ = 4; // number of steps between two events of a run
-    std::function<RunEnd(const ItemRun&)> endOf_ = [](const ItemRun&) { return RunEnd::Completed; };
+    int stepsPerEvent_ = 4; // number of steps between two events of a run
+    std::function<RunResult(const ItemRun&)> runOutcome_ = [](const ItemRun&) { return RunResult::Completed; };
     bool loseTransfers_ = false;
     std::chrono::milliseconds wallShift_ {}; // offset of the wall clock of all hosts
 
 private:
     // A host can only tell that the store is unavailable from missing answers.
-    bool storeLooksAway(std::size_t place) { return hosts_[place]->storeCut_ || store_.core().isOut(); }
+    bool isStoreSilent(std::size_t index) { return hosts_[index]->isStoreUnreachable_ || store_.core().isOut(); }
 
-    void startIntake(std::size_t place, const LedgerStore& send)
+    void startIntake(std::size_t index, const LedgerStore& send)
     {
-        Host& host = *hosts_[place];
-        const auto isAway = [this, place] { return storeLooksAway(place); };
-        const auto ownerOf = [this, place](const JobName&) { return preferred(place); };
-        const auto hand = [this](const JobName& job, const Acceptance& acceptance) {
+        Host& host = *hosts_[index];
+        const auto isAway = [this, index] { return isStoreSilent(index); };
+        const auto ownerOf = [this, index](const JobName&) { return preferredOwner(index); };
+        const auto notifyOwner = [this](const JobName& job, const Acceptance& acceptance) {
             if (loseTransfers_)
                 return;
             const JobTransfer transfer { job, acceptance.head_, acceptance.headVersion_, acceptance.items_, 0, false, {} };
-            const std::size_t owner = placeOf(acceptance.head_.owner_);
+            const std::size_t owner = indexOf(acceptance.head_.owner_);
             at(owner, [this, owner, transfer] { scheduler(owner).adopt(transfer, now_, wall()); });
         };
-        SpoolOutlets spool { send, isAway, ownerOf, hand, [this](SpoolNote note, const JobName&, std::error_code) { ++spoolNotes_[note]; }, [] {} };
+        SpoolOutlets spool { send, isAway, ownerOf, notifyOwner, [this](SpoolNote note, const JobName&, std::error_code) { ++spoolNotes_[note]; }, [] {} };
         host.spool_ = std::make_unique<JobSpool<MemoryDisk>>(host.disk_, SpoolSettings(), std::move(spool));
         host.spool_->load(now_);
         IntakeOutlets intake;
         intake.store_ = send;
-        intake.storeIsAway_ = isAway;
-        intake.keepers_ = [this, place](const std::vector<NodeId>& silent) { return keepers(place, silent); };
-        intake.keep_ = [this](NodeId to, KeptJob job, std::function<void(KeepOutcome, TimePoint)> done) { keep(to, std::move(job), std::move(done)); };
-        intake.forget_ = [this](NodeId to, const JobName& job) { at(placeOf(to), [this, to, job] { hosts_[placeOf(to)]->spool_->forget(job); }); };
+        intake.isStoreUnavailable_ = isAway;
+        intake.chooseReplicas_ = [this, index](const std::vector<NodeId>& unanswered) { return chooseReplicas(index, unanswered); };
+        intake.requestSpooling_ = [this](NodeId to, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done) { storeCopy(to, std::move(job), std::move(done)); };
+        intake.discardCopy_ = [this](NodeId to, const JobName& job) { at(indexOf(to), [this, to, job] { hosts_[indexOf(to)]->spool_->discardCopy(job); }); };
         intake.ownerOf_ = ownerOf;
-        intake.accepted_ = hand;
+        intake.notifyOwner_ = notifyOwner;
         host.intake_ = std::make_unique<JobIntake>(IntakeSettings(), std::move(intake));
     }
 
-    std::size_t placeOf(NodeId node) const { return static_cast<std::size_t>(node.value() - hosts_.front()->id_.value()); }
+    std::size_t indexOf(NodeId node) const { return static_cast<std::size_t>(node.value() - hosts_.front()->id_.value()); }
 
-    std::vector<NodeId> keepers(std::size_t place, const std::vector<NodeId>& silent)
+    std::vector<NodeId> chooseReplicas(std::size_t index, const std::vector<NodeId>& unanswered)
     {
         std::vector<NodeId> found;
         for (const auto& host : hosts_) {
-            if (!hosts_[place]->deadTo_.contains(host->id_) && std::find(silent.begin(), silent.end(), host->id_) == silent.end())
+            if (!hosts_[index]->consideredDead_.contains(host->id_) && std::find(unanswered.begin(), unanswered.end(), host->id_) == unanswered.end())
                 found.push_back(host->id_);
         }
         std::shuffle(found.begin(), found.end(), random_);
@@ -335,51 +335,51 @@
     }
 
     // An answer after the timeout is ignored, but the host may have written the copy nevertheless.
-    void keep(NodeId to, KeptJob job, std::function<void(KeepOutcome, TimePoint)> done)
+    void storeCopy(NodeId to, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done)
     {
-        auto open = std::make_shared<std::function<void(KeepOutcome, TimePoint)>>(std::move(done));
-        const auto answer = [open](KeepOutcome outcome, TimePoint now) {
+        auto open = std::make_shared<std::function<void(SpoolOutcome, TimePoint)>>(std::move(done));
+        const auto answer = [open](SpoolOutcome outcome, TimePoint now) {
             if (*open)
                 std::exchange(*open, {})(outcome, now);
         };
-        asks_.push_back({ now_ + keepBound, answer });
-        at(placeOf(to), [this, to, job = std::move(job), answer] { answer(hosts_[placeOf(to)]->spool_->keep(job, now_), now_); });
+        spoolRequests_.push_back({ now_ + spoolTimeout, answer });
+        at(indexOf(to), [this, to, job = std::move(job), answer] { answer(hosts_[indexOf(to)]->spool_->storeCopy(job, now_), now_); });
     }
 
-    void endAsks()
+    void expireSpoolRequests()
     {
-        while (!asks_.empty() && asks_.front().first <= now_) {
-            const auto answer = std::move(asks_.front().second);
-            asks_.pop_front();
-            answer(KeepOutcome::Unknown, now_);
+        while (!spoolRequests_.empty() && spoolRequests_.front().first <= now_) {
+            const auto answer = std::move(spoolRequests_.front().second);
+            spoolRequests_.pop_front();
+            answer(SpoolOutcome::Unknown, now_);
         }
     }
 
     // Runs the action on the host's current process. A paused host runs it when it resumes; a host without a process drops it.
-    void at(std::size_t place, std::function<void()> action)
+    void at(std::size_t index, std::function<void()> action)
     {
-        Host& host = *hosts_[place];
-        if (!host.alive_)
+        Host& host = *hosts_[index];
+        if (!host.isAlive_)
             return;
-        if (host.paused_)
-            host.held_.push_back(std::move(action));
+        if (host.isPaused_)
+            host.heldMessages_.push_back(std::move(action));
         else
             action();
     }
 
     // Returns the first live host that this host doesn't consider dead and that isn't leaving.
-    NodeId preferred(std::size_t place) const
+    NodeId preferredOwner(std::size_t index) const
     {
         for (const auto& host : hosts_) {
-            if (host->alive_ && !hosts_[place]->deadTo_.contains(host->id_) && !leaving_.contains(host->id_))
+            if (host->isAlive_ && !hosts_[index]->consideredDead_.contains(host->id_) && !leaving_.contains(host->id_))
                 return host->id_;
         }
         return NodeId::none();
     }
 
-    void turn(std::size_t place)
+    void runHost(std::size_t index)
     {
-        Host& host = *hosts_[place];
+        Host& host = *hosts_[index];
         runEngines(host);
         host.scheduler_->tick(now_, wall());
         host.intake_->tick(now_);
@@ -389,41 +389,41 @@
             if (!run)
                 break;
             starts_.push_back(run->item_);
-            host.sent_[run->id_] = 0;
+            host.stepCounts_[run->id_] = 0;
             host.runs_.push_back(std::move(*run));
         }
-        pump(place);
+        sendStoreCalls(index);
     }
 
     void runEngines(Host& host)
     {
         const auto runs = host.runs_;
         for (const ItemRun& run : runs) {
-            const std::uint32_t turns = ++host.sent_[run.id_];
-            if (turns % static_cast<std::uint32_t>(pace_) != 0)
+            const std::uint32_t steps = ++host.stepCounts_[run.id_];
+            if (steps % static_cast<std::uint32_t>(stepsPerEvent_) != 0)
                 continue;
-            const std::uint64_t event = run.resumeAfter_.value_or(0) + turns / static_cast<std::uint32_t>(pace_);
+            const std::uint64_t event = run.resumeAfter_.value_or(0) + steps / static_cast<std::uint32_t>(stepsPerEvent_);
             if (event <= eventsPerItem) {
                 host.scheduler_->event(run.id_, event, "e" + std::to_string(event));
                 continue;
             }
             std::erase_if(host.runs_, [&run](const ItemRun& one) { return one.id_ == run.id_; });
-            host.scheduler_->ended(run.id_, endOf_(run), now_);
+            host.scheduler_->ended(run.id_, runOutcome_(run), now_);
         }
     }
 
-    void pump(std::size_t place)
+    void sendStoreCalls(std::size_t index)
     {
-        Host& host = *hosts_[place];
+        Host& host = *hosts_[index];
         host.queue_->tick(now_);
         for (OutgoingCall& call : host.queue_->take()) {
-            if (host.storeCut_)
+            if (host.isStoreUnreachable_)
                 continue;
             const CallId id = call.id_;
-            store_.call(std::move(call.call_), [this, place, id, life = host.life_](ObjectAnswer answer) {
-                at(place, [this, place, id, life, answer = std::move(answer)]() mutable {
-                    Host& own = *hosts_[place];
-                    if (own.life_ == life)
+            store_.call(std::move(call.call_), [this, index, id, incarnation = host.incarnation_](ObjectAnswer answer) {
+                at(index, [this, index, id, incarnation, answer = std::move(answer)]() mutable {
+                    Host& own = *hosts_[index];
+                    if (own.incarnation_ == incarnation)
                         own.queue_->answered(id, std::move(answer), now_);
                 });
             });
@@ -435,7 +435,7 @@
 
 private:
     std::vector<std::unique_ptr<Host>> hosts_;
-    std::deque<std::pair<TimePoint, std::function<void(KeepOutcome, TimePoint)>>> asks_; // pending ones, ordered by timeout
+    std::deque<std::pair<TimePoint, std::function<void(SpoolOutcome, TimePoint)>>> spoolRequests_; // pending ones, ordered by timeout
     TimePoint now_ { 1s };
 };
 
--- a/libs/ledger/tests/ReplacedOwnerTest.cpp
+++ b/libs/ledger/tests/ReplacedOwnerTest.cpp
@@ -9,10 +9,10 @@
 {
     constexpr Duration settled = 1s;
     LedgerWorld world(41, 2, SchedulerSettings());
-    world.pace_ = 5; // runs of 100 ms
+    world.stepsPerEvent_ = 5; // runs of 100 ms
     world.slots_ = 0;
     // An owner that was available throughout doesn't query the store unless its fleet view reports that it may have been replaced.
-    world.advance(SchedulerSettings().newcomer_ + 1s);
+    world.advance(SchedulerSettings().replacementWindow_ + 1s);
     world.submit(0, "j", 2, 1);
     world.advance(60ms);
     world.host(1).mayBeReplaced_ = true;
@@ -22,9 +22,9 @@
         return world.read(1, "j");
     };
     // The previous confirmation has expired, so this read makes the owner confirm its ownership in the store.
-    world.advance(SchedulerSettings().trustedFor_ + 50ms);
+    world.advance(SchedulerSettings().confirmationLifetime_ + 50ms);
     REQUIRE(readAtOld().outcome_ == ReadOutcome::Found);
-    world.bury(1);
+    world.markDead(1);
     world.slots_ = 4;
     world.scheduler(0).scan(false, world.now());
 
@@ -50,7 +50,7 @@
 TEST_CASE("ledger: a restarted owner stops querying the store after it has rewritten the head")
 {
     LedgerWorld world(43, 2, SchedulerSettings());
-    world.pace_ = 5000;
+    world.stepsPerEvent_ = 5000;
     world.submit(0, "j", 8, 1);
     world.advance(100ms);
     world.kill(1);
@@ -63,7 +63,7 @@
             CHECK(world.read(1, "j").outcome_ == ReadOutcome::Found);
         return world.store_.core().counts().reads_ - before;
     };
-    CHECK(callsOf(SchedulerSettings().knownAfter_) >= 4);
+    CHECK(callsOf(SchedulerSettings().announcedAfter_) >= 4);
     callsOf(500ms);
     CHECK(callsOf(4s) == 0);
 }
@@ -73,7 +73,7 @@
 TEST_CASE("ledger: a claim in flight fails after the owner has rewritten the head")
 {
     LedgerWorld world(44, 2, SchedulerSettings());
-    world.pace_ = 5000;
+    world.stepsPerEvent_ = 5000;
     world.submit(0, "j", 8, 1);
     world.advance(100ms);
     const ObjectEntry before = *world.store_.core().apply(ObjectCall::list(headKey("j"), true), world.now()).entries_.begin();
@@ -81,7 +81,7 @@
     world.start(1);
     world.scheduler(1).tick(world.now(), world.wall());
     world.scheduler(1).scan(false, world.now());
-    world.advance(SchedulerSettings().knownAfter_ + 200ms);
+    world.advance(SchedulerSettings().announcedAfter_ + 200ms);
     JobHead claimed = decodeHead(before.value_).value();
     claimed.owner_ = world.host(0).id_;
     CHECK(world.store_.core().apply(ObjectCall::update(headKey("j"), encode(claimed), before.version_), world.now()).error_ == ObjectError::Conflict);
--- a/libs/ledger/tests/SchedulerTest.cpp
+++ b/libs/ledger/tests/SchedulerTest.cpp
@@ -67,10 +67,10 @@
 {
     LedgerWorld world(8);
     std::map<std::string, int> runs;
-    world.endOf_ = [&runs](const ItemRun& run) {
+    world.runOutcome_ = [&runs](const ItemRun& run) {
         ++runs[run.item_];
-        return run.item_ == "j-0" ? RunEnd::Failed : run.item_ == "j-1" ? RunEnd::Impossible
-                                                                        : RunEnd::Completed;
+        return run.item_ == "j-0" ? RunResult::Failed : run.item_ == "j-1" ? RunResult::Unprocessable
+                                                                           : RunResult::Completed;
     };
     world.submit(0, "j", 3, 1);
     world.advance(5s);
@@ -94,17 +94,17 @@
     REQUIRE(world.host(1).runs_.size() == 1);
     const ItemRun first = world.host(1).runs_[0];
     world.host(1).runs_.clear();
-    world.scheduler(1).ended(first.id_, RunEnd::Broken, world.now());
+    world.scheduler(1).ended(first.id_, RunResult::Interrupted, world.now());
     world.advance(500ms);
     const auto second = world.scheduler(1).startNext("s", world.now());
     REQUIRE(second);
     CHECK(second->resumeAfter_);
-    world.scheduler(1).ended(second->id_, RunEnd::OutOfStep, world.now());
+    world.scheduler(1).ended(second->id_, RunResult::ResumeMismatch, world.now());
     world.advance(2s);
     const auto third = world.scheduler(1).startNext("s", world.now());
     REQUIRE(third);
     CHECK_FALSE(third->resumeAfter_);
-    world.scheduler(1).ended(third->id_, RunEnd::GivenWay, world.now());
+    world.scheduler(1).ended(third->id_, RunResult::Preempted, world.now());
     world.slots_ = 1;
     world.advance(3s);
     CHECK(world.stored("j").size() == 1);
@@ -116,7 +116,7 @@
 TEST_CASE("ledger: a dead owner's job is taken over and continues after its listed results")
 {
     LedgerWorld world(10);
-    world.pace_ = 12;
+    world.stepsPerEvent_ = 12;
     world.slots_ = 2;
     world.submit(0, "j", 12, 1);
     world.advance(700ms);
@@ -124,7 +124,7 @@
     REQUIRE_FALSE(before.empty());
     REQUIRE(before.size() < 12);
     world.kill(1);
-    world.bury(1);
+    world.markDead(1);
     world.scheduler(0).scan(false, world.now());
     world.advance(4s);
     const auto after = world.stored("j");
@@ -143,12 +143,12 @@
     world.submit(0, "j", 12, 1);
     world.advance(300ms);
     world.pause(1);
-    world.bury(1);
+    world.markDead(1);
     world.scheduler(0).scan(false, world.now());
     world.advance(600ms);
     const auto byOther = world.stored("j");
-    world.bury(1, false);
-    world.wake(1);
+    world.markDead(1, false);
+    world.resume(1);
     world.advance(5s);
     const auto all = world.stored("j");
     CHECK(all.size() == 12);
@@ -165,11 +165,11 @@
     world.submit(0, "j", 12, 1);
     world.advance(300ms);
     world.pause(1);
-    world.bury(1);
+    world.markDead(1);
     world.scheduler(0).scan(false, world.now());
     world.advance(5s);
     REQUIRE(world.stored("j").size() == 12);
-    world.wake(1);
+    world.resume(1);
     const ReadAnswer answer = world.read(1, "j", 0);
     CHECK(answer.outcome_ == ReadOutcome::Found);
     CHECK(answer.next_ == 12);
@@ -208,7 +208,7 @@
 TEST_CASE("ledger: a leaving node hands over its jobs with the progress of their runs")
 {
     LedgerWorld world(15);
-    world.pace_ = 30;
+    world.stepsPerEvent_ = 30;
     world.submit(0, "j", 4, 1);
     world.advance(250ms);
     world.leaving_.insert(world.host(1).id_);
@@ -244,15 +244,15 @@
 TEST_CASE("ledger: results are committed after an outage of the store")
 {
     LedgerWorld world(17);
-    bool isNewcomer = false;
+    bool isRecentlyStarted = false;
     SUBCASE("of an owner that was available throughout") { world.advance(11s); }
-    SUBCASE("of one that has just started, and may have been replaced") { isNewcomer = true; }
+    SUBCASE("of one that has just started, and may have been replaced") { isRecentlyStarted = true; }
     world.submit(0, "j", 6, 1);
     world.advance(30ms);
     world.store_.core().setOutage(true);
     world.advance(3s);
     CHECK(world.stored("j").empty());
-    CHECK(world.read(1, "j").outcome_ == (isNewcomer ? ReadOutcome::Unsure : ReadOutcome::Found));
+    CHECK(world.read(1, "j").outcome_ == (isRecentlyStarted ? ReadOutcome::Unavailable : ReadOutcome::Found));
     world.store_.core().setOutage(false);
     world.advance(3s);
     CHECK(world.stored("j").size() == 6);
@@ -284,19 +284,19 @@
 TEST_CASE("ledger: bodies are returned until their items are listed")
 {
     LedgerWorld world(19);
-    world.pace_ = 200;
+    world.stepsPerEvent_ = 200;
     world.submit(0, "j", 2, 1);
     world.advance(50ms);
-    const auto body = [&world](std::size_t place, const std::string& item, bool force) {
+    const auto body = [&world](std::size_t index, const std::string& item, bool force) {
         std::optional<BodyAnswer> got;
-        world.scheduler(place).body("j", item, force, world.now(), [&got](BodyAnswer answer) { got = std::move(answer); });
+        world.scheduler(index).body("j", item, force, world.now(), [&got](BodyAnswer answer) { got = std::move(answer); });
         world.advance(300ms);
         REQUIRE(got);
         return *got;
     };
     CHECK(body(1, "j-0", false).body_ == "a");
     CHECK(body(0, "j-1", true).body_ == "a");
-    CHECK(body(0, "j-1", false).outcome_ == ReadOutcome::Elsewhere);
+    CHECK(body(0, "j-1", false).outcome_ == ReadOutcome::OtherOwner);
     CHECK(body(1, "j-9", false).outcome_ == ReadOutcome::Missing);
     CHECK(body(0, "j-9", true).outcome_ == ReadOutcome::Missing);
 }
@@ -376,18 +376,18 @@
     const auto stored = world.store_.core().objects().find(headKey("j"));
     const JobTransfer late { "j", decodeHead(stored->second.value_).value(), stored->second.version_, LedgerWorld::submission("j", 6).items_, 0, false, {} };
     world.pause(1);
-    world.bury(1);
+    world.markDead(1);
     world.scheduler(0).scan(false, world.now());
     world.advance(3s);
     REQUIRE(world.read(0, "j").next_ == 6);
-    world.bury(1, false);
+    world.markDead(1, false);
     SUBCASE("after a pause") { }
     SUBCASE("after a restart")
     {
         world.kill(1);
         world.start(1);
     }
-    world.wake(1);
+    world.resume(1);
     const std::size_t startedBefore = world.starts_.size();
     world.scheduler(1).adopt(late, world.now(), world.wall());
     CHECK(world.read(1, "j").next_ == 6);
@@ -403,13 +403,13 @@
 {
     LedgerWorld world(23);
     world.slots_ = 3;
-    world.pace_ = 400;
+    world.stepsPerEvent_ = 400;
     world.submit(0, "j", 12, 1);
     world.advance(300ms);
     world.pause(1);
-    world.bury(1);
+    world.markDead(1);
     world.advance(3s);
-    world.wake(1);
+    world.resume(1);
     REQUIRE(world.read(1, "j").outcome_ == ReadOutcome::Found);
     // The former owner's runs produce nothing in the meantime.
     world.service_ = std::nullopt;
@@ -420,7 +420,7 @@
     std::uint32_t page = 0;
     while (world.store_.core().objects().contains(resultPageKey("j", page)))
         ++page;
-    world.store_.core().apply(ObjectCall::create(resultPageKey("j", page), encode(std::vector<JobResult> { { "j-11", ResultState::Completed, LedgerWorld::wholeText() } })), world.now());
+    world.store_.core().apply(ObjectCall::create(resultPageKey("j", page), encode(std::vector<JobResult> { { "j-11", ResultState::Completed, LedgerWorld::completeText() } })), world.now());
     world.advance(900ms);
     CHECK(world.read(1, "j").next_ >= 1);
 }
@@ -432,14 +432,14 @@
 {
     LedgerWorld world(24);
     world.slots_ = 2;
-    world.pace_ = 12;
+    world.stepsPerEvent_ = 12;
     world.submit(0, "j", 12, 1);
     world.advance(700ms);
     REQUIRE_FALSE(world.stored("j").empty());
     SUBCASE("by another node")
     {
         world.kill(1);
-        world.bury(1);
+        world.markDead(1);
         world.scheduler(0).scan(false, world.now());
     }
     SUBCASE("by the same node's next process")
@@ -454,7 +454,7 @@
         ++page;
     world.slots_ = 0;
     world.advance(100ms);
-    const std::vector<JobResult> late { { "j-11", ResultState::Completed, LedgerWorld::wholeText() } };
+    const std::vector<JobResult> late { { "j-11", ResultState::Completed, LedgerWorld::completeText() } };
     const ObjectAnswer written = world.store_.core().apply(ObjectCall::create(resultPageKey("j", page), encode(late)), world.now());
     CHECK(written.error_ == ObjectError::Conflict);
     world.slots_ = 4;
--- a/libs/ledger/tests/SpoolTest.cpp
+++ b/libs/ledger/tests/SpoolTest.cpp
@@ -31,13 +31,13 @@
     world.advance(100ms);
     world.take(0, "j", items);
     world.advance(20ms);
-    CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Kept });
+    CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Spooled });
     world.advance(4s);
-    CHECK(world.read(0, "j").outcome_ == ReadOutcome::Unsure);
+    CHECK(world.read(0, "j").outcome_ == ReadOutcome::Unavailable);
     world.store_.core().setOutage(false);
     world.advance(8s);
     expectDone(world, "j");
-    CHECK(world.spoolNotes_[SpoolNote::Kept] == 2);
+    CHECK(world.spoolNotes_[SpoolNote::Spooled] == 2);
     CHECK(world.host(0).disk_.texts_->empty());
     CHECK(world.starts_.size() == items);
 }
@@ -47,13 +47,13 @@
 TEST_CASE("ledger: a job is spooled when the store doesn't answer in time")
 {
     LedgerWorld world(2, 3);
-    for (std::size_t place = 0; place < 3; ++place)
-        world.host(place).storeCut_ = true;
+    for (std::size_t index = 0; index < 3; ++index)
+        world.host(index).isStoreUnreachable_ = true;
     world.take(0, "j", items);
-    world.host(0).storeCut_ = false;
+    world.host(0).isStoreUnreachable_ = false;
     world.store_.faults().delay_ = 3s;
     world.advance(400ms);
-    CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Kept });
+    CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Spooled });
 }
 
 // A slow store accepts a job after 300 ms, when two hosts have already spooled it. They are notified and discard their copies without a
@@ -64,10 +64,10 @@
     world.store_.faults().delay_ = 150ms;
     world.take(0, "j", items);
     world.advance(260ms);
-    CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Kept });
+    CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Spooled });
     world.advance(6s);
-    CHECK(world.spoolNotes_[SpoolNote::Forgotten] == 2);
-    CHECK(world.spoolNotes_[SpoolNote::Known] == 0);
+    CHECK(world.spoolNotes_[SpoolNote::Discarded] == 2);
+    CHECK(world.spoolNotes_[SpoolNote::AlreadyStored] == 0);
     expectDone(world, "j");
 }
 
@@ -75,24 +75,24 @@
 // host before the job, and the host would upload a copy that is no longer needed.
 TEST_CASE("ledger: a copy is discarded only after its host has answered the spool request")
 {
-    std::vector<std::string> said;
-    std::function<void(KeepOutcome, TimePoint)> hostAnswers;
+    std::vector<std::string> actions;
+    std::function<void(SpoolOutcome, TimePoint)> hostAnswers;
     std::vector<SettledCompletion> storeAnswers;
     IntakeOutlets outlets;
     outlets.store_ = [&](const ObjectCall&, CallClass, TimePoint, SettledCompletion done) { storeAnswers.push_back(std::move(done)); };
-    outlets.storeIsAway_ = [] { return true; };
-    outlets.keepers_ = [](const std::vector<NodeId>&) { return std::vector { NodeId(7) }; };
-    outlets.keep_ = [&](NodeId, const KeptJob&, std::function<void(KeepOutcome, TimePoint)> done) { hostAnswers = std::move(done); };
-    outlets.forget_ = [&](NodeId, const JobName&) { said.push_back("forget"); };
+    outlets.isStoreUnavailable_ = [] { return true; };
+    outlets.chooseReplicas_ = [](const std::vector<NodeId>&) { return std::vector { NodeId(7) }; };
+    outlets.requestSpooling_ = [&](NodeId, const SpooledJob&, std::function<void(SpoolOutcome, TimePoint)> done) { hostAnswers = std::move(done); };
+    outlets.discardCopy_ = [&](NodeId, const JobName&) { actions.push_back("forget"); };
     outlets.ownerOf_ = [](const JobName&) { return NodeId(1); };
-    outlets.accepted_ = [](const JobName&, const Acceptance&) {};
+    outlets.notifyOwner_ = [](const JobName&, const Acceptance&) {};
     JobIntake intake({}, std::move(outlets));
-    intake.submit(LedgerWorld::submission("j", 1), 2s, TimePoint(1s), LedgerWorld::wallStart, [&](const IntakeAnswer& answer, TimePoint) { said.emplace_back(toString(answer.outcome_)); });
+    intake.submit(LedgerWorld::submission("j", 1), 2s, TimePoint(1s), LedgerWorld::wallStart, [&](const IntakeAnswer& answer, TimePoint) { actions.emplace_back(toString(answer.outcome_)); });
     for (const SettledCompletion& done : storeAnswers)
         done({}, TimePoint(1s));
-    CHECK(said == std::vector<std::string> { "accepted" });
-    hostAnswers(KeepOutcome::Kept, TimePoint(1s));
-    CHECK(said == std::vector<std::string> { "accepted", "forget" });
+    CHECK(actions == std::vector<std::string> { "accepted" });
+    hostAnswers(SpoolOutcome::Spooled, TimePoint(1s));
+    CHECK(actions == std::vector<std::string> { "accepted", "forget" });
 }
 
 // The store answers after 370 ms, and one of the hosts with a disk has just died and isn't considered dead yet. Without replacing that
@@ -106,7 +106,7 @@
         world.kill(3);
         world.take(0, "j", items);
         world.advance(360ms);
-        CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Kept });
+        CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::Spooled });
         world.advance(8s);
         expectDone(world, "j");
     }
@@ -124,8 +124,8 @@
         world.take(0, "j", items);
         world.advance(3s);
         const auto& outcomes = world.outcomes_["j"];
-        const bool isKept = std::find(outcomes.begin(), outcomes.end(), AcceptOutcome::Kept) != outcomes.end();
-        CHECK_FALSE(isKept);
+        const bool isSpooled = std::find(outcomes.begin(), outcomes.end(), AcceptOutcome::Spooled) != outcomes.end();
+        CHECK_FALSE(isSpooled);
     }
 }
 
@@ -137,14 +137,14 @@
     world.take(0, "j", items);
     world.advance(50ms);
     bool isWiped = false;
-    for (std::size_t place = 0; place < 3; ++place) {
-        world.kill(place);
-        const bool holdsCopy = world.host(place).disk_.texts_->contains("j");
+    for (std::size_t index = 0; index < 3; ++index) {
+        world.kill(index);
+        const bool holdsCopy = world.host(index).disk_.texts_->contains("j");
         if (holdsCopy && !isWiped) {
-            world.wipe(place);
+            world.wipeDisk(index);
             isWiped = true;
         }
-        world.start(place);
+        world.start(index);
     }
     CHECK(isWiped);
     world.advance(2s);
@@ -158,7 +158,7 @@
 {
     LedgerWorld world(5, 2);
     world.store_.core().setOutage(true);
-    world.bury(1);
+    world.markDead(1);
     world.take(0, "j", items);
     world.advance(3s);
     CHECK(world.outcomes_["j"] == std::vector { AcceptOutcome::NotAccepted });
@@ -190,14 +190,14 @@
     world.store_.core().setOutage(true);
     world.take(0, "j", items);
     world.advance(50ms);
-    for (std::size_t place = 0; place < 3; ++place)
-        world.kill(place);
+    for (std::size_t index = 0; index < 3; ++index)
+        world.kill(index);
     world.advance(SpoolSettings().retention_ + 1s);
     world.store_.core().setOutage(false);
-    for (std::size_t place = 0; place < 3; ++place)
-        world.start(place);
+    for (std::size_t index = 0; index < 3; ++index)
+        world.start(index);
     world.advance(5s);
-    CHECK(world.spoolNotes_[SpoolNote::Outdated] == 2);
+    CHECK(world.spoolNotes_[SpoolNote::Expired] == 2);
     CHECK(world.starts_.empty());
 }
 
@@ -205,25 +205,25 @@
 {
     MemoryDisk disk;
     SpoolSettings settings;
-    KeptJob job { LedgerWorld::submission("j", items), 0 };
-    settings.mostBytes_ = encode(job).size() + 1;
+    SpooledJob job { LedgerWorld::submission("j", items), 0 };
+    settings.maxBytes_ = encode(job).size() + 1;
     const auto ignore = [](SpoolNote, const JobName&, std::error_code) {};
     SpoolOutlets outlets { [](const ObjectCall&, CallClass, TimePoint, const SettledCompletion&) {}, [] { return true; }, [](const JobName&) { return NodeId(1); }, [](const JobName&, const Acceptance&) {}, ignore, [] {} };
     JobSpool<MemoryDisk> spool(disk, settings, outlets);
-    CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Kept);
-    CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Kept); // spooling the same job again needs no further space
+    CHECK(spool.storeCopy(job, TimePoint(1s)) == SpoolOutcome::Spooled);
+    CHECK(spool.storeCopy(job, TimePoint(1s)) == SpoolOutcome::Spooled); // spooling the same job again needs no further space
     job.submission_.job_ = "k";
-    CHECK(spool.keep(job, TimePoint(1s)) == KeepOutcome::Refused);
+    CHECK(spool.storeCopy(job, TimePoint(1s)) == SpoolOutcome::Refused);
     CHECK(disk.texts_->size() == 1);
 }
 
 TEST_CASE("ledger: a spooled job survives encoding, and a damaged text doesn't decode")
 {
-    KeptJob job { LedgerWorld::submission("j", items), 1 };
+    SpooledJob job { LedgerWorld::submission("j", items), 1 };
     job.submission_.items_[0].headers_ = { { "Name", "a \"quoted\"\nvalue" } };
     job.submission_.head_.acceptedAt_ = LedgerWorld::wallStart;
     const std::string text = encode(job);
-    const auto back = decodeKept(text);
+    const auto back = decodeSpooledJob(text);
     REQUIRE(back);
     CHECK(back.value().rank_ == 1);
     CHECK(back.value().submission_.job_ == "j");
@@ -232,11 +232,11 @@
     CHECK(back.value().submission_.items_.size() == items);
     CHECK(back.value().submission_.items_[0].headers_ == job.submission_.items_[0].headers_);
     for (std::size_t size = 0; size < text.size(); ++size)
-        CHECK_FALSE(decodeKept(text.substr(0, size)));
-    for (std::size_t place = 0; place < text.size(); place += 3) {
+        CHECK_FALSE(decodeSpooledJob(text.substr(0, size)));
+    for (std::size_t index = 0; index < text.size(); index += 3) {
         std::string damaged = text;
-        damaged[place] = static_cast<char>(damaged[place] ^ 1);
-        CHECK_FALSE(decodeKept(damaged));
+        damaged[index] = static_cast<char>(damaged[index] ^ 1);
+        CHECK_FALSE(decodeSpooledJob(damaged));
     }
 }
 
--- a/libs/ledger/tests/StretchTest.cpp
+++ b/libs/ledger/tests/StretchTest.cpp
@@ -22,7 +22,7 @@
         REQUIRE(runs.size() == 8);
         advance(10s);
         for (const RunId run : runs)
-            scheduler(0).ended(run, RunEnd::Completed, now());
+            scheduler(0).ended(run, RunResult::Completed, now());
     }
 
     std::string next()
@@ -62,7 +62,7 @@
     const auto run = world.scheduler(0).startNext("s", world.now());
     REQUIRE(run);
     world.scheduler(0).event(run->id_, 1, "e1");
-    world.scheduler(0).ended(run->id_, RunEnd::GivenWay, world.now());
+    world.scheduler(0).ended(run->id_, RunResult::Preempted, world.now());
     world.advance(11s);
     world.submit(0, "later", 1, 0);
     world.advance(200ms);
--- a/libs/serving/src/ItemRunner.cpp
+++ b/libs/serving/src/ItemRunner.cpp
@@ -92,7 +92,7 @@
     }
     if (!last || !context_.board_.mustYieldItem(last->service_, last->item_.due_, now))
         return;
-    finish(last, RunEnd::GivenWay, "ceded");
+    finish(last, RunResult::Preempted, "ceded");
 }
 
 void ItemRunner::send(const RunPtr& run)
@@ -148,7 +148,7 @@
         scheduler_.event(run->item_.id_, *event.id_, event.data_);
     });
     if (outOfStep)
-        finish(run, RunEnd::OutOfStep, "outOfStep");
+        finish(run, RunResult::ResumeMismatch, "outOfStep");
 }
 
 void ItemRunner::onEnd(const RunPtr& run)
@@ -161,7 +161,7 @@
             context_.failed(run->engine_, EngineFault::NotConnected, {});
         else
             context_.board_.recordFullRefusal(run->engine_, context_.now());
-        return finish(run, RunEnd::GivenWay, "notExecuted");
+        return finish(run, RunResult::Preempted, "notExecuted");
     }
     // The item itself may be the cause of an error status, so the failure is not attributed to the engine.
     context_.board_.succeeded(run->engine_, context_.now());
@@ -170,14 +170,14 @@
         const bool isWhole = run->scanner_.rest().empty();
         if (isWhole)
             meanRunSeconds_ += meanGain * (toSeconds(context_.now() - run->sentAt_) - meanRunSeconds_);
-        return finish(run, isWhole ? RunEnd::Completed : RunEnd::Broken, isWhole ? "completed" : "endedInsideEvent");
+        return finish(run, isWhole ? RunResult::Completed : RunResult::Interrupted, isWhole ? "completed" : "endedInsideEvent");
     }
     case statusImpossible:
-        return finish(run, RunEnd::Impossible, "impossible");
+        return finish(run, RunResult::Unprocessable, "impossible");
     case statusFailed:
-        return finish(run, RunEnd::Failed, "failed");
+        return finish(run, RunResult::Failed, "failed");
     default:
-        return finish(run, RunEnd::Broken, "unexpectedStatus");
+        return finish(run, RunResult::Interrupted, "unexpectedStatus");
     }
 }
 
@@ -188,13 +188,13 @@
     run->call_ = nullptr;
     if (failure.run_ == RunState::NotRun) {
         context_.failed(run->engine_, EngineFault::NotConnected, failure.code_);
-        return finish(run, RunEnd::GivenWay, "notConnected");
+        return finish(run, RunResult::Preempted, "notConnected");
     }
     context_.failed(run->engine_, EngineFault::Lost, failure.code_);
-    finish(run, RunEnd::Broken, failure.code_.message());
+    finish(run, RunResult::Interrupted, failure.code_.message());
 }
 
-void ItemRunner::finish(const RunPtr& run, RunEnd end, std::string_view why)
+void ItemRunner::finish(const RunPtr& run, RunResult end, std::string_view why)
 {
     runs_.erase(run->item_.id_);
     if (run->call_)
@@ -242,7 +242,7 @@
     if (!chosen || mayStay)
         return chosen != nullptr;
     context_.metrics_.metrics_.add(context_.metrics_.itemsGivenWay_);
-    finish(chosen, RunEnd::GivenWay, "gaveWay");
+    finish(chosen, RunResult::Preempted, "gaveWay");
     return true;
 }
 
--- a/libs/serving/src/ItemRunner.h
+++ b/libs/serving/src/ItemRunner.h
@@ -75,7 +75,7 @@
     void onData(const RunPtr& run, std::string_view data);
     void onEnd(const RunPtr& run);
     void onError(const RunPtr& run, const http::CallFailure& failure);
-    void finish(const RunPtr& run, RunEnd end, std::string_view why);
+    void finish(const RunPtr& run, RunResult end, std::string_view why);
     bool isCurrent(const RunPtr& run) const;
 
     Context& context_;
--- a/libs/serving/src/JobFront.cpp
+++ b/libs/serving/src/JobFront.cpp
@@ -63,12 +63,12 @@
 {
     IntakeOutlets outlets;
     outlets.store_ = [&store](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store.send(std::move(call), callClass, until, std::move(done)); };
-    outlets.storeIsAway_ = [&store] { return store.isAway(); };
-    outlets.keepers_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->keepersOf({ context_.settings_.lostHosts_, context_.settings_.lostDomains_, context_.settings_.lostRegions_ }, silent); };
-    outlets.keep_ = [this](NodeId host, KeptJob job, std::function<void(KeepOutcome, TimePoint)> done) { keepAt(host, std::move(job), std::move(done)); };
-    outlets.forget_ = [this](NodeId host, const JobName& job) { forgetAt(host, job); };
+    outlets.isStoreUnavailable_ = [&store] { return store.isAway(); };
+    outlets.chooseReplicas_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->keepersOf({ context_.settings_.lostHosts_, context_.settings_.lostDomains_, context_.settings_.lostRegions_ }, silent); };
+    outlets.requestSpooling_ = [this](NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done) { keepAt(host, std::move(job), std::move(done)); };
+    outlets.discardCopy_ = [this](NodeId host, const JobName& job) { forgetAt(host, job); };
     outlets.ownerOf_ = [this](const JobName& job) { return context_.fleet_->preferredOwner(job, context_.fleet_->self()); };
-    outlets.accepted_ = [this](const JobName& job, const Acceptance& acceptance) {
+    outlets.notifyOwner_ = [this](const JobName& job, const Acceptance& acceptance) {
         remember(job, acceptance.head_.owner_);
         handToOwner(job, acceptance, 0);
     };
@@ -94,13 +94,13 @@
     intake_.submit(std::move(job), context_.settings_.acceptBound_, began, SystemClock().wallNow(), [this, exchange, name, began](const IntakeAnswer& answer, TimePoint now) { respond(exchange, name, answer, began, now); });
 }
 
-void JobFront::keepAt(NodeId host, KeptJob job, std::function<void(KeepOutcome, TimePoint)> done)
+void JobFront::keepAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done)
 {
     const JobName name = job.submission_.job_;
     context_.fleet_->ask(host, KeepAsk { std::move(job) }, keepBound, [this, host, name, done = std::move(done)](const Result<PeerReply>& reply) {
         const auto* kept = reply ? std::get_if<KeepReply>(&reply.value()) : nullptr;
-        const KeepOutcome outcome = kept ? kept->outcome_ : KeepOutcome::Unknown;
-        if (outcome != KeepOutcome::Kept)
+        const SpoolOutcome outcome = kept ? kept->outcome_ : SpoolOutcome::Unknown;
+        if (outcome != SpoolOutcome::Spooled)
             context_.log_.line("copyMissing").with("job", name).with("host", host.value()).with("outcome", kept ? "refused" : "unknown");
         done(outcome, context_.now());
     });
@@ -119,9 +119,9 @@
     context_.log_.line("jobSubmitted").with("request", job).with("job", job).with("outcome", toString(answer.outcome_)).with("items", answer.items_).with("owner", answer.owner_.value()).with("afterMs", now - began);
     switch (answer.outcome_) {
     case AcceptOutcome::Accepted:
-    case AcceptOutcome::Kept:
+    case AcceptOutcome::Spooled:
         context_.metrics_.metrics_.observe(context_.metrics_.accept_, toMilliseconds(now - began));
-        if (answer.outcome_ == AcceptOutcome::Kept)
+        if (answer.outcome_ == AcceptOutcome::Spooled)
             context_.metrics_.metrics_.add(context_.metrics_.jobsKept_);
         return exchange->respond({ 202, { { "Content-Type", "application/json" } }, "{}" });
     case AcceptOutcome::AlreadyAccepted:
@@ -190,7 +190,7 @@
             context_.log_.line("ownerUnreachable").with("job", jobOf(asked->call_)).with("call", nameOf(asked->call_)).with("owner", asked->next_.value()).with("error", reply.error().message());
             return askHere(asked, true);
         }
-        ReadOutcome outcome = ReadOutcome::Unsure;
+        ReadOutcome outcome = ReadOutcome::Unavailable;
         NodeId owner;
         if (const auto* read = std::get_if<ReadAnswer>(&reply.value())) {
             outcome = read->outcome_;
@@ -198,7 +198,7 @@
         } else if (const auto* body = std::get_if<BodyAnswer>(&reply.value())) {
             outcome = body->outcome_;
             owner = body->owner_;
-        } else if (const auto* end = std::get_if<EndAnswer>(&reply.value())) {
+        } else if (const auto* end = std::get_if<CancelAnswer>(&reply.value())) {
             outcome = end->outcome_;
             owner = end->owner_;
         }
@@ -223,18 +223,18 @@
             answered(asked, outcome, owner, true, std::move(answer));
         });
     }
-    scheduler_.end(std::get<JobEnd>(asked->call_).job_, force, now, [this, asked](EndAnswer answer) { answered(asked, answer.outcome_, answer.owner_, true, answer); });
+    scheduler_.end(std::get<JobEnd>(asked->call_).job_, force, now, [this, asked](CancelAnswer answer) { answered(asked, answer.outcome_, answer.owner_, true, answer); });
 }
 
 void JobFront::answered(const AskedPtr& asked, ReadOutcome outcome, NodeId owner, bool wasHere, const PeerReply& reply)
 {
     const bool mayGoOn = ++asked->hops_ < mostHops && context_.now() - asked->began_ < waitOf(asked->call_) + callBound;
-    if (outcome == ReadOutcome::Elsewhere && mayGoOn) {
+    if (outcome == ReadOutcome::OtherOwner && mayGoOn) {
         remember(jobOf(asked->call_), owner);
         asked->next_ = owner;
         return owner == context_.fleet_->self() && wasHere ? askHere(asked, true) : askOwner(asked);
     }
-    if (outcome == ReadOutcome::Unsure && !wasHere && mayGoOn)
+    if (outcome == ReadOutcome::Unavailable && !wasHere && mayGoOn)
         return askHere(asked, true);
     if (outcome == ReadOutcome::Found && !wasHere)
         remember(jobOf(asked->call_), asked->next_);
@@ -244,7 +244,7 @@
 void JobFront::respond(const Asked& asked, ReadOutcome outcome, const PeerReply& reply)
 {
     http::Exchange& exchange = *asked.exchange_;
-    const bool isUnsure = outcome == ReadOutcome::Unsure || outcome == ReadOutcome::Elsewhere;
+    const bool isUnsure = outcome == ReadOutcome::Unavailable || outcome == ReadOutcome::OtherOwner;
     if (isUnsure || outcome == ReadOutcome::Missing)
         context_.log_.line("jobCallFailed").with("job", jobOf(asked.call_)).with("call", nameOf(asked.call_)).with("outcome", isUnsure ? "unsure" : "missing").with("hops", asked.hops_).with("afterMs", context_.now() - asked.began_);
     if (isUnsure)
--- a/libs/serving/src/JobFront.h
+++ b/libs/serving/src/JobFront.h
@@ -26,7 +26,7 @@
     using AskedPtr = std::shared_ptr<Asked>;
 
     IntakeOutlets intakeOutlets(StoreLink& store);
-    void keepAt(NodeId host, KeptJob job, std::function<void(KeepOutcome, TimePoint)> done);
+    void keepAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done);
     void forgetAt(NodeId host, const JobName& job);
     void respond(const std::shared_ptr<http::Exchange>& exchange, const JobName& job, const IntakeAnswer& answer, TimePoint began, TimePoint now);
     void handToOwner(const JobName& job, const Acceptance& acceptance, int tries);
--- a/libs/serving/src/PeerMessages.cpp
+++ b/libs/serving/src/PeerMessages.cpp
@@ -124,7 +124,7 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, KeptJob& job)
+void serialize(Archive& archive, SpooledJob& job)
 {
     archive(job.submission_, job.rank_);
 }
@@ -232,7 +232,7 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, EndAnswer& answer)
+void serialize(Archive& archive, CancelAnswer& answer)
 {
     archive(answer.outcome_, answer.owner_);
 }
--- a/libs/serving/src/PeerMessages.h
+++ b/libs/serving/src/PeerMessages.h
@@ -7,7 +7,7 @@
 #include "RemovalHistory.h"
 #include "base/Result.h"
 #include "ledger/JobScheduler.h"
-#include "ledger/KeptJob.h"
+#include "ledger/SpooledJob.h"
 #include "objects/ObjectApi.h"
 #include "wire/Key.h"
 
@@ -49,7 +49,7 @@
 };
 // Asks the receiver to spool a job on its disk until the store accepts jobs again.
 struct KeepAsk {
-    KeptJob job_;
+    SpooledJob job_;
 };
 // Asks the receiver to delete its spooled copy of a job, because the store has the job now.
 struct ForgetAsk {
@@ -91,9 +91,9 @@
 };
 // Also acknowledges a ForgetAsk; the outcome has no meaning then.
 struct KeepReply {
-    KeepOutcome outcome_ = KeepOutcome::Refused;
+    SpoolOutcome outcome_ = SpoolOutcome::Refused;
 };
-using PeerReply = std::variant<ObjectAnswer, UpdateReply, AdoptReply, ReadAnswer, BodyAnswer, EndAnswer, KeepReply>;
+using PeerReply = std::variant<ObjectAnswer, UpdateReply, AdoptReply, ReadAnswer, BodyAnswer, CancelAnswer, KeepReply>;
 
 enum class PeerError : int {
     Unauthentic = 1, // the authentication code is wrong
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -139,7 +139,7 @@
     link.queue_.hedges_ = 2;
     store_ = std::make_unique<StoreLink>(io_, link, translation_, log_, seed_);
     store_->setPeerRoute([this](const ObjectCall& call, Duration bound, StoreLink::Completion done) { return routeToPeer(call, bound, std::move(done)); });
-    for (const std::string& kind : { std::string(endMarkKind), translation_.keys_.retirements_ })
+    for (const std::string& kind : { std::string(cancelMarkKind), translation_.keys_.retirements_ })
         kinds_.push_back(std::make_unique<KindWatch>(*store_, kind, [this](const std::string& key) { foundObject(key); }));
     config_ = std::make_unique<ConfigFollower>(
         *store_, translation_, log_, FollowerTimes(), [this](const auto& table) { onConfig(table); }, [this] { requestUpdate(); });
@@ -239,7 +239,7 @@
         scanAt_ = std::min(scanAt_, context_.now() + scanAfterLoss);
         freshScan_ = true;
     };
-    handlers.onRejoined_ = [this] { scheduler_->suspectAll(context_.now()); };
+    handlers.onRejoined_ = [this] { scheduler_->recheckOwnership(context_.now()); };
     handlers.onCall_ = [this](PeerCall call, const std::function<void(PeerReply)>& reply) { onPeerCall(std::move(call), reply); };
     return handlers;
 }
@@ -268,7 +268,7 @@
             line.with("error", event.error_.message());
     };
     outlets.mayBeReplaced_ = [this] { return fleet_->mayBeReplaced(); };
-    outlets.mayBeKept_ = [this] { return mayBeKept(); };
+    outlets.mayBeSpooled_ = [this] { return mayBeKept(); };
     outlets.serviceOf_ = [this](std::string_view host, std::string_view path) -> std::optional<std::string> {
         if (!context_.table_)
             return std::nullopt;
@@ -299,19 +299,19 @@
         return;
     }
     SpoolSettings spool;
-    spool.mostBytes_ = settings_.diskBytes_ / usedPart;
+    spool.maxBytes_ = settings_.diskBytes_ / usedPart;
     SpoolOutlets outlets;
     outlets.store_ = [this](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store_->send(std::move(call), callClass, until, std::move(done)); };
-    outlets.storeIsAway_ = [this] { return store_->isAway(); };
+    outlets.isStoreUnavailable_ = [this] { return store_->isAway(); };
     outlets.ownerOf_ = [this](const JobName& job) { return fleet_->preferredOwner(job, fleet_->self()); };
-    outlets.accepted_ = [this](const JobName& job, const Acceptance& acceptance) { jobs_->handToOwner(job, acceptance); };
+    outlets.notifyOwner_ = [this](const JobName& job, const Acceptance& acceptance) { jobs_->handToOwner(job, acceptance); };
     outlets.note_ = [this](SpoolNote note, const JobName& job, std::error_code error) {
         auto line = log_.line(toString(note));
         line.with("job", job);
         if (error)
             line.with("error", error.message());
     };
-    outlets.changed_ = [this] { fleet_->publishReport(); };
+    outlets.sizeChanged_ = [this] { fleet_->publishReport(); };
     spool_ = std::make_unique<JobSpool<FileDisk>>(std::move(disk.value()), spool, std::move(outlets));
     spool_->load(context_.now());
 }
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -64,7 +64,7 @@
     if (spool_)
         spool_->tick(now, wall);
     if (!settings_.runsJobs_ && scheduler_->openJobs() > 0)
-        scheduler_->passOn(now);
+        scheduler_->handOverMisplaced(now);
     queue_->tick(now);
     runner_->pump(now);
     if (retirement_)
@@ -107,7 +107,7 @@
 
 void ServingNode::Parts::scanJobs(TimePoint now)
 {
-    const bool mayOwn = settings_.runsJobs_ || scheduler_->heldJobs() > 0;
+    const bool mayOwn = settings_.runsJobs_ || scheduler_->loadedJobs() > 0;
     if (now < scanAt_ || !mayOwn || draining_)
         return;
     scanAt_ = now + scanPeriod;
@@ -166,7 +166,7 @@
     const JobName job(path.substr(jobsPath.size()));
     if (!isValidJobName(job))
         return exchange->respond(refusal(translation_, 400, "job.BadName", "invalid job name", RunState::NotRun, {}));
-    scheduler_->locate(job, context_.now(), [this, exchange, job, isJson](const JobScheduler::Place& place) {
+    scheduler_->locate(job, context_.now(), [this, exchange, job, isJson](const JobScheduler::JobLocation& place) {
         if (place.outcome_ == ReadOutcome::Missing)
             return exchange->respond(refusal(translation_, 404, "job.NotFound", "no such job", RunState::NotRun, {}));
         if (place.outcome_ != ReadOutcome::Found)
@@ -328,9 +328,9 @@
         return;
     if (key.starts_with(translation_.keys_.retirements_))
         return retirement_->learned(key);
-    const JobName job(jobOfEndMark(key));
+    const JobName job(jobOfCancelMark(key));
     log_.line("endMarked").with("job", job);
-    scheduler_->endMarked(job, now);
+    scheduler_->handleCancelMark(job, now);
 }
 
 void ServingNode::Parts::onPeerCall(PeerCall call, const std::function<void(PeerReply)>& reply)
@@ -352,18 +352,18 @@
     if (const auto* ask = std::get_if<BodyAsk>(&call))
         return scheduler_->body(ask->job_, ask->item_, false, now, [reply](BodyAnswer answer) { reply(std::move(answer)); });
     if (const auto* ask = std::get_if<KeepAsk>(&call))
-        return reply(KeepReply { takesCopies() ? spool_->keep(ask->job_, now) : KeepOutcome::Refused });
+        return reply(KeepReply { takesCopies() ? spool_->storeCopy(ask->job_, now) : SpoolOutcome::Refused });
     if (const auto* ask = std::get_if<ForgetAsk>(&call)) {
         if (spool_)
-            spool_->forget(ask->job_);
-        return reply(KeepReply { KeepOutcome::Refused });
+            spool_->discardCopy(ask->job_);
+        return reply(KeepReply { SpoolOutcome::Refused });
     }
     if (const auto* found = std::get_if<FoundObject>(&call)) {
         meetObject(found->key_);
         return reply(AdoptReply { true });
     }
     const auto& ask = std::get<EndAsk>(call);
-    scheduler_->end(ask.job_, false, now, [reply](EndAnswer answer) { reply(answer); });
+    scheduler_->end(ask.job_, false, now, [reply](CancelAnswer answer) { reply(answer); });
 }
 
 // ---- signals and shutdown
