--- a/libs/serving/include/serving/Translation.h
+++ b/libs/serving/include/serving/Translation.h
@@ -33,19 +33,19 @@
 
 // A caller's request about an existing job: read a page of results, read the result of one item, or cancel the job. Every other
 // request of a caller is either forwarded to an engine or submits a job.
-struct JobRead {
+struct JobReadRequest {
     JobName job_;
     std::uint32_t after_ = 0;
     Duration wait_ {};
 };
-struct JobBody {
+struct ItemBodyRequest {
     JobName job_;
     std::string item_;
 };
-struct JobEnd {
+struct JobCancelRequest {
     JobName job_;
 };
-using JobCall = std::variant<JobRead, JobBody, JobEnd>;
+using JobRequest = std::variant<JobReadRequest, ItemBodyRequest, JobCancelRequest>;
 
 // Keys of the store's objects that the platform's operators and engines write.
 struct StoreKeys {
@@ -66,25 +66,25 @@
 
     // ---- objects written by operators and engines. On a parse error the node logs the error and ignores the object. An engine
     // whose entry becomes unreadable is no longer used.
-    std::function<Checked<RouteConfig>(std::string_view value)> readConfig_;
+    std::function<Checked<RouteConfig>(std::string_view value)> parseConfig_;
     // `regions` maps each failure domain to its region.
-    std::function<Checked<EngineEntry>(std::string_view key, std::string_view value, const std::map<std::string, std::string>& regions)> readEngine_;
-    std::function<std::string(bool completed)> writeRetirement_;
+    std::function<Checked<EngineEntry>(std::string_view key, std::string_view value, const std::map<std::string, std::string>& regions)> parseEngine_;
+    std::function<std::string(bool completed)> formatRetirement_;
 
     // ---- callers
-    std::function<std::optional<JobCall>(const http::Request&)> readJobCall_;
-    std::function<Checked<JobSubmission>(const http::Request&)> readSubmission_;
-    std::function<std::string(const ReadAnswer&)> writeResults_;
+    std::function<std::optional<JobRequest>(const http::Request&)> parseJobRequest_;
+    std::function<Checked<JobSubmission>(const http::Request&)> parseSubmission_;
+    std::function<std::string(const ReadAnswer&)> formatResults_;
 
     // ---- engines
-    std::function<std::optional<EngineLoad>(std::string_view header)> readLoad_;
-    std::string enginePath_; // a live engine answers this path without using a slot
+    std::function<std::optional<EngineLoad>(std::string_view header)> parseLoad_;
+    std::string engineHealthPath_; // a live engine answers this path without using a slot
 
     // ---- the store
-    std::function<http::Request(const ObjectCall&)> writeStoreCall_;
+    std::function<http::Request(const ObjectCall&)> buildStoreRequest_;
     // Converts the store's response. Without a response, the result holds the connection error, and RunState says whether the store
     // may have read the request.
-    std::function<ObjectAnswer(const ObjectCall&, const Result<http::Response>&, RunState)> readStoreAnswer_;
+    std::function<ObjectAnswer(const ObjectCall&, const Result<http::Response>&, RunState)> parseStoreAnswer_;
 };
 
 } // namespace jj
--- a/libs/serving/src/ConfigFollower.cpp
+++ b/libs/serving/src/ConfigFollower.cpp
@@ -3,41 +3,41 @@
 
 namespace jj {
 
-ConfigFollower::ConfigFollower(StoreLink& store, const Translation& translation, DecisionLog& log, FollowerTimes times, Applied applied, AskPeer askPeer)
+ConfigFollower::ConfigFollower(StoreLink& store, const Translation& translation, DecisionLog& log, FollowerTimes times, OnApplied onApplied, RequestFromPeer requestFromPeer)
     : store_(store)
     , translation_(translation)
     , log_(log)
     , times_(times)
-    , applied_(std::move(applied))
-    , askPeer_(std::move(askPeer))
+    , onApplied_(std::move(onApplied))
+    , requestFromPeer_(std::move(requestFromPeer))
     , lag_(times)
 {
 }
 
 void ConfigFollower::tick(TimePoint now)
 {
-    const bool mustRead = seen_.isNone() && (!passive_ || !hasRead_);
-    if (!busy_ && now >= nextAt_ && mustRead)
+    const bool needsRead = followedVersion_.isNone() && (!isPassive_ || !hasRead_);
+    if (!isCallInFlight_ && now >= nextCallAt_ && needsRead)
         read();
-    else if (!busy_ && now >= nextAt_ && !passive_)
+    else if (!isCallInFlight_ && now >= nextCallAt_ && !isPassive_)
         watch();
-    if (lag_.version() > version() && lag_.mustAskAgain(passive_, now))
-        askPeer_();
+    if (lag_.version() > version() && lag_.mustAskAgain(isPassive_, now))
+        requestFromPeer_();
 }
 
-void ConfigFollower::peerHas(std::uint64_t peerVersion, TimePoint now)
+void ConfigFollower::onPeerVersion(std::uint64_t peerVersion, TimePoint now)
 {
-    if (peerVersion > version() && lag_.mustAsk(peerVersion, passive_, now))
-        askPeer_();
+    if (peerVersion > version() && lag_.mustAsk(peerVersion, isPassive_, now))
+        requestFromPeer_();
 }
 
-void ConfigFollower::again(TimePoint now)
+void ConfigFollower::scheduleRetry(TimePoint now)
 {
-    nextAt_ = now + retryAfter(times_, failures_);
+    nextCallAt_ = now + retryDelay(times_, failures_);
     ++failures_;
-    seen_ = ObjectVersion::none();
+    followedVersion_ = ObjectVersion::none();
     if (version() == 0)
-        askPeer_();
+        requestFromPeer_();
 }
 
 // Lists the configuration's key instead of getting it: a list returns a version to watch from even when no configuration exists
@@ -48,46 +48,46 @@
     // The first answer may be some seconds old: newer changes arrive from peers, or from the watch that continues at the answer's
     // version.
     call.stale_ = !hasRead_;
-    busy_ = true;
+    isCallInFlight_ = true;
     hasRead_ = true;
     store_.once(call, [this](const ObjectAnswer& answer) {
-        busy_ = false;
+        isCallInFlight_ = false;
         const TimePoint at = SystemClock().now();
         if (!answer.ok())
-            return again(at);
+            return scheduleRetry(at);
         failures_ = 0;
         for (const ObjectEntry& entry : answer.entries_) {
             if (entry.key_ == translation_.keys_.config_)
-                take(entry.value_, "store");
+                applyUpdate(entry.value_, "store");
         }
-        seen_ = answer.version_;
-        nextAt_ = at;
+        followedVersion_ = answer.version_;
+        nextCallAt_ = at;
     });
 }
 
 void ConfigFollower::watch()
 {
-    busy_ = true;
-    store_.once(ObjectCall::changes(translation_.keys_.config_, seen_, times_.heldOpen_), [this](const ObjectAnswer& answer) {
-        busy_ = false;
+    isCallInFlight_ = true;
+    store_.once(ObjectCall::changes(translation_.keys_.config_, followedVersion_, times_.longPollTime_), [this](const ObjectAnswer& answer) {
+        isCallInFlight_ = false;
         const TimePoint at = SystemClock().now();
         if (!answer.ok())
-            return again(at);
+            return scheduleRetry(at);
         failures_ = 0;
         for (const ObjectChange& change : answer.changes_) {
             if (change.kind_ == ChangeKind::Put && change.key_ == translation_.keys_.config_)
-                take(change.value_, "store");
+                applyUpdate(change.value_, "store");
         }
-        seen_ = answer.version_;
-        nextAt_ = at;
-        if (!passive_)
+        followedVersion_ = answer.version_;
+        nextCallAt_ = at;
+        if (!isPassive_)
             watch();
     });
 }
 
-void ConfigFollower::take(std::string_view value, std::string_view source)
+void ConfigFollower::applyUpdate(std::string_view value, std::string_view source)
 {
-    auto config = translation_.readConfig_(value);
+    auto config = translation_.parseConfig_(value);
     if (!config) {
         log_.line("configUnreadable").with("source", source).with("error", config.error().message());
         return;
@@ -106,7 +106,7 @@
     log_.line("configApplied").with("source", source).with("version", offered).with("before", version()).with("routes", table.value().routes().size());
     table_ = std::make_shared<const RouteTable>(std::move(table.value()));
     value_ = value;
-    applied_(table_);
+    onApplied_(table_);
 }
 
 } // namespace jj
--- a/libs/serving/src/ConfigFollower.h
+++ b/libs/serving/src/ConfigFollower.h
@@ -20,20 +20,20 @@
 // Holds the current configuration. Its version only increases: an older version is dropped, whatever its source.
 class ConfigFollower {
 public:
-    using Applied = std::function<void(const std::shared_ptr<const RouteTable>&)>;
+    using OnApplied = std::function<void(const std::shared_ptr<const RouteTable>&)>;
     // Requests an update from a peer; does nothing when no peer can be asked.
-    using AskPeer = std::function<void()>;
+    using RequestFromPeer = std::function<void()>;
 
-    ConfigFollower(StoreLink& store, const Translation& translation, DecisionLog& log, FollowerTimes times, Applied applied, AskPeer askPeer);
+    ConfigFollower(StoreLink& store, const Translation& translation, DecisionLog& log, FollowerTimes times, OnApplied onApplied, RequestFromPeer requestFromPeer);
 
     // Sets whether the node is passive. A passive node calls the store only once, at its start. Nodes are passive initially.
-    void setPassive(bool passive) { passive_ = passive; }
+    void setPassive(bool isPassive) { isPassive_ = isPassive; }
     void tick(TimePoint now);
     // Applies a configuration received from the store or from a peer, unless it is unreadable, invalid or not newer.
-    void take(std::string_view value, std::string_view source);
+    void applyUpdate(std::string_view value, std::string_view source);
     // Records that a peer has this version. If it is newer, a passive node requests it at once. A watcher requests it only if the
-    // store hasn't delivered it after FollowerTimes::behindBound_.
-    void peerHas(std::uint64_t version, TimePoint now);
+    // store hasn't delivered it after FollowerTimes::maxLag_.
+    void onPeerVersion(std::uint64_t version, TimePoint now);
 
     std::uint64_t version() const { return table_ ? table_->version() : 0; }
     const std::shared_ptr<const RouteTable>& table() const { return table_; }
@@ -42,24 +42,24 @@
 private:
     void read();
     void watch();
-    void again(TimePoint now);
+    void scheduleRetry(TimePoint now);
 
     StoreLink& store_;
     const Translation& translation_;
     DecisionLog& log_;
     FollowerTimes times_;
-    Applied applied_;
-    AskPeer askPeer_;
+    OnApplied onApplied_;
+    RequestFromPeer requestFromPeer_;
     std::shared_ptr<const RouteTable> table_;
     std::string value_; // the configuration as stored, to be sent to peers
-    ObjectVersion seen_; // store version up to which changes have been applied; none: the configuration must be read again
-    bool passive_ = true;
+    ObjectVersion followedVersion_; // store version up to which changes have been applied; none: the configuration must be read again
+    bool isPassive_ = true;
     // Each node reads the store once at its start. When all nodes start together, a node can serve about 0.3 s earlier than if it
     // waited for a peer's update.
     bool hasRead_ = false;
-    bool busy_ = false;
+    bool isCallInFlight_ = false;
     std::uint32_t failures_ = 0;
-    TimePoint nextAt_ {};
+    TimePoint nextCallAt_ {};
     PeerLag lag_;
 };
 
--- a/libs/serving/src/Context.cpp
+++ b/libs/serving/src/Context.cpp
@@ -74,7 +74,7 @@
 {
     for (const Fingerprint mark : suspects_.engineDown(engine, now())) {
         log_.line("crashSuspected").with("engine", engine.value()).with("mark", mark.value());
-        fleet_->publishCrashMark(mark, CrashSuspects::blockTime);
+        fleet_->publishCrashMark(mark, CrashSuspects::blockDuration);
     }
 }
 
@@ -83,7 +83,7 @@
     const std::string_view text = headers.find(translation_.headers_.load_);
     if (text.empty())
         return;
-    if (const auto load = translation_.readLoad_(text))
+    if (const auto load = translation_.parseLoad_(text))
         board_.applyEngineLoad(engine, load->running_, load->waiting_, now());
 }
 
@@ -95,14 +95,14 @@
     http::CallOptions options;
     options.idle_ = probeBound;
     options.fresh_ = true;
-    engines_.fetch(entry->at_, { "GET", translation_.enginePath_, {}, {} }, options, [this, engine](const Result<http::Response>& response, RunState) {
+    engines_.fetch(entry->at_, { "GET", translation_.engineHealthPath_, {}, {} }, options, [this, engine](const Result<http::Response>& response, RunState) {
         const EngineEntry* known = board_.find(engine);
         if (!known)
             return;
         if (!response)
             return failed(engine, EngineFault::NotConnected, response.error());
         board_.recordProbeSuccess(engine);
-        suspects_.engineLives(engine);
+        suspects_.clearLosses(engine);
         log_.line("engineProbed").with("engine", known->name_).with("status", response.value().status_);
     });
 }
--- a/libs/serving/src/CrashSuspects.cpp
+++ b/libs/serving/src/CrashSuspects.cpp
@@ -26,56 +26,56 @@
     const auto [begin, end] = losses_.equal_range(engine);
     for (auto each = begin; each != end; ++each) {
         const Loss& loss = each->second;
-        if (now - loss.at_ > evidenceTime || isAnsweredLately(loss.content_, now))
+        if (now - loss.at_ > crashEvidenceTime || isRecentlyAnswered(loss.content_, now))
             continue;
         std::uint32_t crashes = 1;
-        while (crashes < mostCrashes && isMarked(markOf(loss.content_, crashes), now))
+        while (crashes < maxCrashes && isMarked(markOf(loss.content_, crashes), now))
             ++crashes;
         const Fingerprint mark = markOf(loss.content_, crashes);
-        marks_[mark] = now + blockTime;
+        marks_[mark] = now + blockDuration;
         marks.push_back(mark);
     }
     losses_.erase(begin, end);
     return marks;
 }
 
-void CrashSuspects::engineLives(UpstreamId engine) { losses_.erase(engine); }
+void CrashSuspects::clearLosses(UpstreamId engine) { losses_.erase(engine); }
 
-bool CrashSuspects::isAnsweredLately(Fingerprint content, TimePoint now) const
+bool CrashSuspects::isRecentlyAnswered(Fingerprint content, TimePoint now) const
 {
-    const auto found = answered_.find(content);
-    return found != answered_.end() && now - found->second <= answeredTime;
+    const auto found = answerTimes_.find(content);
+    return found != answerTimes_.end() && now - found->second <= answerRetention;
 }
 
-void CrashSuspects::answered(Fingerprint content, TimePoint now)
+void CrashSuspects::recordAnswer(Fingerprint content, TimePoint now)
 {
-    answered_[content] = now;
-    answeredOrder_.push_back({ now, content });
-    forgetAnswered(now);
+    answerTimes_[content] = now;
+    answersByTime_.push_back({ now, content });
+    expireAnswers(now);
     if (marks_.empty())
         return;
-    for (std::uint32_t crashes = 1; crashes <= mostCrashes; ++crashes)
+    for (std::uint32_t crashes = 1; crashes <= maxCrashes; ++crashes)
         marks_.erase(markOf(content, crashes));
 }
 
-void CrashSuspects::forgetAnswered(TimePoint now)
+void CrashSuspects::expireAnswers(TimePoint now)
 {
-    while (!answeredOrder_.empty() && (answeredOrder_.size() > mostAnswered || now - answeredOrder_.front().first > answeredTime)) {
-        const auto [at, content] = answeredOrder_.front();
-        answeredOrder_.pop_front();
-        if (const auto found = answered_.find(content); found != answered_.end() && found->second == at)
-            answered_.erase(found);
+    while (!answersByTime_.empty() && (answersByTime_.size() > maxAnswers || now - answersByTime_.front().first > answerRetention)) {
+        const auto [at, content] = answersByTime_.front();
+        answersByTime_.pop_front();
+        if (const auto found = answerTimes_.find(content); found != answerTimes_.end() && found->second == at)
+            answerTimes_.erase(found);
     }
 }
 
-void CrashSuspects::learned(Fingerprint mark, Duration remaining, TimePoint now) { marks_[mark] = now + remaining; }
+void CrashSuspects::addPeerMark(Fingerprint mark, Duration remaining, TimePoint now) { marks_[mark] = now + remaining; }
 
-bool CrashSuspects::isBlocked(Fingerprint content, TimePoint now) const { return isMarked(markOf(content, mostCrashes), now) && !isAnsweredLately(content, now); }
+bool CrashSuspects::isBlocked(Fingerprint content, TimePoint now) const { return isMarked(markOf(content, maxCrashes), now) && !isRecentlyAnswered(content, now); }
 
 void CrashSuspects::tick(TimePoint now)
 {
-    std::erase_if(losses_, [now](const auto& entry) { return now - entry.second.at_ > evidenceTime; });
-    forgetAnswered(now);
+    std::erase_if(losses_, [now](const auto& entry) { return now - entry.second.at_ > crashEvidenceTime; });
+    expireAnswers(now);
     std::erase_if(marks_, [now](const auto& entry) { return now >= entry.second; });
 }
 
--- a/libs/serving/src/Dissemination.cpp
+++ b/libs/serving/src/Dissemination.cpp
@@ -7,17 +7,17 @@
 
 NodeId pickUpdateSource(const std::vector<UpdatePeer>& peers, std::uint64_t config, std::uint64_t engines, std::mt19937_64& random)
 {
-    std::vector<const UpdatePeer*> near;
-    std::vector<const UpdatePeer*> far;
-    std::vector<const UpdatePeer*> rest;
+    std::vector<const UpdatePeer*> sameRegion;
+    std::vector<const UpdatePeer*> otherRegion;
+    std::vector<const UpdatePeer*> notAhead;
     for (const UpdatePeer& peer : peers) {
         const bool isAhead = peer.config_ > config || peer.engines_ > engines;
-        (!isAhead ? rest : peer.isNear_ ? near
-                                        : far)
+        (!isAhead ? notAhead : peer.isSameRegion_ ? sameRegion
+                                                  : otherRegion)
             .push_back(&peer);
     }
-    const auto& from = !near.empty() ? near : !far.empty() ? far
-                                                           : rest;
+    const auto& from = !sameRegion.empty() ? sameRegion : !otherRegion.empty() ? otherRegion
+                                                                               : notAhead;
     if (from.empty())
         return NodeId::none();
     std::uniform_int_distribution<std::size_t> any(0, from.size() - 1);
@@ -28,6 +28,6 @@
     return (isSecondNewer ? second : first)->node_;
 }
 
-void UpdateBudget::spent(std::size_t bytes, TimePoint now) { busyUntil_ = std::max(busyUntil_, now) + fromSeconds(static_cast<double>(bytes) / bytesPerSecond); }
+void UpdateBudget::recordSent(std::size_t bytes, TimePoint now) { busyUntil_ = std::max(busyUntil_, now) + fromSeconds(static_cast<double>(bytes) / bytesPerSecond); }
 
 } // namespace jj
--- a/libs/serving/src/Dissemination.h
+++ b/libs/serving/src/Dissemination.h
@@ -24,7 +24,7 @@
 // The versions that a peer has, according to its last report.
 struct UpdatePeer {
     NodeId node_;
-    bool isNear_ = false; // in this node's region
+    bool isSameRegion_ = false; // in this node's region
     std::uint64_t config_ = 0;
     std::uint64_t engines_ = 0;
 };
@@ -39,10 +39,10 @@
     // About half the bandwidth of the slowest link of an entry host, which has 30 Mbit/s. The answers to callers need the rest.
     static constexpr double bytesPerSecond = 2e6;
     // Must stay well below 600 ms: a requester that receives no byte for that long gives up.
-    static constexpr Duration longestBacklog = 250ms;
+    static constexpr Duration maxBacklog = 250ms;
 
-    bool mayAnswer(TimePoint now) const { return busyUntil_ - now <= longestBacklog; }
-    void spent(std::size_t bytes, TimePoint now);
+    bool mayAnswer(TimePoint now) const { return busyUntil_ - now <= maxBacklog; }
+    void recordSent(std::size_t bytes, TimePoint now);
 
 private:
     TimePoint busyUntil_ {};
--- a/libs/serving/src/EngineCatalog.cpp
+++ b/libs/serving/src/EngineCatalog.cpp
@@ -20,27 +20,27 @@
 // peer's update arrived first.
 bool EngineCatalog::isOlder(const std::string& key, ObjectVersion version) const
 {
-    const auto found = known_.find(key);
-    return found != known_.end() && version < found->second.version_;
+    const auto found = engines_.find(key);
+    return found != engines_.end() && version < found->second.version_;
 }
 
 void EngineCatalog::put(const std::string& key, const std::string& value, ObjectVersion version)
 {
     if (isOlder(key, version))
         return;
-    const auto entry = translation_.readEngine_(key, value, regions_);
+    const auto entry = translation_.parseEngine_(key, value, regions_);
     if (!entry) {
         // An unreadable entry names no engine, and the engine of the entry that it replaced is no longer used either.
         log_.line("engineUnreadable").with("key", key).with("version", version.value()).with("error", entry.error().message());
         return remove(key, version, "unreadable");
     }
-    const auto found = known_.find(key);
-    if (found != known_.end() && found->second.entry_.id_ != entry.value().id_)
+    const auto found = engines_.find(key);
+    if (found != engines_.end() && found->second.entry_.id_ != entry.value().id_)
         remove(key, version, "replaced");
-    const auto [place, isNew] = known_.try_emplace(key);
-    Known& known = place->second;
-    if (known.missingVersion_ < version)
-        known.goneAt_ = neverTime;
+    const auto [position, isNew] = engines_.try_emplace(key);
+    KnownEngine& known = position->second;
+    if (known.removalVersion_ < version)
+        known.removeAt_ = neverTime;
     known.value_ = value;
     known.version_ = version;
     if (!isNew && known.entry_ == entry.value())
@@ -51,51 +51,51 @@
     changed_(engine);
 }
 
-void EngineCatalog::gone(const std::string& key, ObjectVersion version, TimePoint now, Duration grace)
+void EngineCatalog::handleRemoval(const std::string& key, ObjectVersion version, TimePoint now, Duration grace)
 {
-    knowsUpTo(version.value());
+    advanceTo(version.value());
     if (isOlder(key, version))
         return;
     // An unknown engine has nothing to retain, but its removal must be recorded for peers that know the engine.
-    if (grace == Duration::zero() || !known_.contains(key))
+    if (grace == Duration::zero() || !engines_.contains(key))
         return remove(key, version, "gone");
-    miss(key, version, now + grace);
+    markMissing(key, version, now + grace);
 }
 
 // Ignores an entry of an unknown engine if the entry isn't newer than version() and the answer is older: a peer's update may already
 // have reported the engine's removal.
-void EngineCatalog::putAnswered(const std::string& key, const std::string& value, ObjectVersion version, ObjectVersion answeredAt)
+void EngineCatalog::putFromAnswer(const std::string& key, const std::string& value, ObjectVersion version, ObjectVersion answerVersion)
 {
-    const bool isGoneSince = !known_.contains(key) && version.value() <= newest_ && answeredAt.value() < newest_;
-    if (!isGoneSince)
+    const bool isRemovedSince = !engines_.contains(key) && version.value() <= appliedVersion_ && answerVersion.value() < appliedVersion_;
+    if (!isRemovedSince)
         put(key, value, version);
 }
 
-void EngineCatalog::follow(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now, Duration grace)
+void EngineCatalog::applyChanges(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now, Duration grace)
 {
     for (const ObjectChange& change : changes) {
         if (change.kind_ != ChangeKind::Remove)
-            putAnswered(change.key_, change.value_, change.version_, version);
+            putFromAnswer(change.key_, change.value_, change.version_, version);
         else
-            gone(change.key_, change.version_, now, grace);
-        knowsUpTo(change.version_.value());
+            handleRemoval(change.key_, change.version_, now, grace);
+        advanceTo(change.version_.value());
     }
-    answeredUpTo_ = std::max(answeredUpTo_, version.value());
+    answeredVersion_ = std::max(answeredVersion_, version.value());
 }
 
 void EngineCatalog::list(const std::vector<ObjectEntry>& entries, PageVersions versions, TimePoint now, Duration grace)
 {
-    const std::uint64_t before = newest_;
-    const std::set<std::string> listed = putListed(entries, versions.first_);
+    const std::uint64_t before = appliedVersion_;
+    const std::set<std::string> listed = putFromList(entries, versions.first_);
     // The list doesn't say when the missing engines were removed, so its own version is used as the version of their removal.
-    for (const std::string& key : keysWithout(listed))
-        gone(key, versions.first_, now, grace);
-    removals_.skip({ before, versions.last_.value() });
-    answeredUpTo_ = std::max(answeredUpTo_, versions.first_.value());
-    isKnown_ = true;
+    for (const std::string& key : keysNotIn(listed))
+        handleRemoval(key, versions.first_, now, grace);
+    removals_.addGap({ before, versions.last_.value() });
+    answeredVersion_ = std::max(answeredVersion_, versions.first_.value());
+    isInitialized_ = true;
 }
 
-std::set<std::string> EngineCatalog::putListed(const std::vector<ObjectEntry>& entries, ObjectVersion version)
+std::set<std::string> EngineCatalog::putFromList(const std::vector<ObjectEntry>& entries, ObjectVersion version)
 {
     std::set<std::string> listed;
     std::uint64_t newest = 0;
@@ -106,103 +106,103 @@
             continue;
         listed.insert(entry.key_);
         newest = std::max(newest, entry.version_.value());
-        putAnswered(entry.key_, entry.value_, entry.version_, version);
+        putFromAnswer(entry.key_, entry.value_, entry.version_, version);
     }
-    knowsUpTo(newest);
+    advanceTo(newest);
     return listed;
 }
 
-std::vector<std::string> EngineCatalog::keysWithout(const std::set<std::string>& named) const
+std::vector<std::string> EngineCatalog::keysNotIn(const std::set<std::string>& named) const
 {
     std::vector<std::string> others;
-    for (const auto& [key, known] : known_) {
+    for (const auto& [key, known] : engines_) {
         if (!named.contains(key))
             others.push_back(key);
     }
     return others;
 }
 
-void EngineCatalog::miss(const std::string& key, ObjectVersion version, TimePoint goneAt)
+void EngineCatalog::markMissing(const std::string& key, ObjectVersion version, TimePoint removeAt)
 {
-    const auto found = known_.find(key);
-    if (found == known_.end())
+    const auto found = engines_.find(key);
+    if (found == engines_.end())
         return;
-    Known& known = found->second;
-    if (known.isMissing() && known.goneAt_ <= goneAt)
+    KnownEngine& known = found->second;
+    if (known.isMissing() && known.removeAt_ <= removeAt)
         return;
-    known.goneAt_ = goneAt;
-    nextEnd_ = std::min(nextEnd_, goneAt);
-    known.missingVersion_ = version;
+    known.removeAt_ = removeAt;
+    nextRemovalAt_ = std::min(nextRemovalAt_, removeAt);
+    known.removalVersion_ = version;
     log_.line("engineMissing").with("engine", known.entry_.name_).with("at", toString(known.entry_.at_)).with("version", version.value());
 }
 
 void EngineCatalog::tick(TimePoint now)
 {
-    if (now < nextEnd_)
+    if (now < nextRemovalAt_)
         return;
-    nextEnd_ = neverTime;
-    std::vector<std::string> over;
-    for (const auto& [key, known] : known_) {
-        if (known.goneAt_ <= now)
-            over.push_back(key);
+    nextRemovalAt_ = neverTime;
+    std::vector<std::string> expired;
+    for (const auto& [key, known] : engines_) {
+        if (known.removeAt_ <= now)
+            expired.push_back(key);
         else
-            nextEnd_ = std::min(nextEnd_, known.goneAt_);
+            nextRemovalAt_ = std::min(nextRemovalAt_, known.removeAt_);
     }
-    for (const std::string& key : over)
-        remove(key, ObjectVersion(newest_), "missingAfterOutage");
+    for (const std::string& key : expired)
+        remove(key, ObjectVersion(appliedVersion_), "missingAfterOutage");
 }
 
 void EngineCatalog::remove(const std::string& key, ObjectVersion version, std::string_view why)
 {
     // The removal is recorded even if this node never knew the engine, because a peer may know it.
-    removals_.add(std::max(newest_, version.value()), key);
-    const auto found = known_.find(key);
-    if (found == known_.end())
+    removals_.add(std::max(appliedVersion_, version.value()), key);
+    const auto found = engines_.find(key);
+    if (found == engines_.end())
         return;
     const EngineEntry entry = found->second.entry_;
-    known_.erase(found);
+    engines_.erase(found);
     log_.line("engineRemoved").with("engine", entry.name_).with("at", toString(entry.at_)).with("why", why).with("version", version.value());
     removed_(entry);
 }
 
 void EngineCatalog::forEach(const std::function<void(const EngineEntry&)>& visit) const
 {
-    for (const auto& [key, known] : known_)
+    for (const auto& [key, known] : engines_)
         visit(known.entry_);
 }
 
 // ---- between nodes
 
-void EngineCatalog::knowsUpTo(std::uint64_t version) { newest_ = std::max(newest_, version); }
+void EngineCatalog::advanceTo(std::uint64_t version) { appliedVersion_ = std::max(appliedVersion_, version); }
 
-bool EngineCatalog::knowsAsMuch(std::uint64_t version)
+bool EngineCatalog::tryAdvanceTo(std::uint64_t version)
 {
-    if (version <= answeredUpTo_)
-        knowsUpTo(version);
-    return version <= newest_;
+    if (version <= answeredVersion_)
+        advanceTo(version);
+    return version <= appliedVersion_;
 }
 
 EngineUpdate EngineCatalog::updateSince(std::uint64_t since, TimePoint now) const
 {
     EngineUpdate update;
-    if (!isKnown_)
+    if (!isInitialized_)
         return update;
-    update.version_ = newest_;
-    update.isWhole_ = !removals_.covers(since);
+    update.version_ = appliedVersion_;
+    update.isWhole_ = !removals_.isCompleteSince(since);
     update.gaps_ = removals_.gapsSince(since);
-    for (const auto& [key, known] : known_) {
+    for (const auto& [key, known] : engines_) {
         if (known.version_.value() <= since)
             update.unchanged_.push_back(key);
         else
             update.entries_.push_back({ key, known.version_, known.value_.size(), known.value_ });
-        if (known.isMissing() && (update.isWhole_ || known.missingVersion_.value() > since))
-            update.missing_.push_back({ key, known.missingVersion_, std::max(Duration::zero(), known.goneAt_ - now) });
+        if (known.isMissing() && (update.isWhole_ || known.removalVersion_.value() > since))
+            update.missing_.push_back({ key, known.removalVersion_, std::max(Duration::zero(), known.removeAt_ - now) });
     }
     if (update.isWhole_)
         return update;
     update.unchanged_.clear();
     update.removed_ = removals_.keysSince(since);
-    std::erase_if(update.removed_, [this](const std::string& key) { return known_.contains(key); });
+    std::erase_if(update.removed_, [this](const std::string& key) { return engines_.contains(key); });
     return update;
 }
 
@@ -213,46 +213,46 @@
     return update.isWhole_ || std::none_of(update.gaps_.begin(), update.gaps_.end(), [version](const VersionGap& gap) { return gap.contains(version); });
 }
 
-void EngineCatalog::take(const EngineUpdate& update, std::string_view peer, TimePoint now)
+void EngineCatalog::applyUpdate(const EngineUpdate& update, std::string_view peer, TimePoint now)
 {
-    if (update.version_ == 0 || knowsAsMuch(update.version_))
+    if (update.version_ == 0 || tryAdvanceTo(update.version_))
         return;
-    const std::uint64_t before = newest_;
+    const std::uint64_t before = appliedVersion_;
     if (!isCompleteFrom(before, update)) {
         log_.line("updateOutdated").with("peer", peer).with("known", before).with("version", update.version_);
         return;
     }
-    knowsUpTo(update.version_);
+    advanceTo(update.version_);
     for (const ObjectEntry& entry : update.entries_)
         put(entry.key_, entry.value_, entry.version_);
     for (const std::string& key : update.removed_)
         remove(key, ObjectVersion(update.version_), "goneByPeer");
     if (update.isWhole_) {
-        removeUnnamed(update);
-        removals_.skip({ before, update.version_ });
+        removeUnlisted(update);
+        removals_.addGap({ before, update.version_ });
     }
     for (const VersionGap& gap : update.gaps_)
-        removals_.skip(gap);
-    takeMissing(update, now);
-    isKnown_ = true;
-    log_.line("enginesByPeer").with("peer", peer).with("whole", update.isWhole_ ? "yes" : "no").with("before", before).with("version", newest_).with("changed", update.entries_.size()).with("removed", update.removed_.size()).with("missing", update.missing_.size());
+        removals_.addGap(gap);
+    applyMissing(update, now);
+    isInitialized_ = true;
+    log_.line("enginesByPeer").with("peer", peer).with("whole", update.isWhole_ ? "yes" : "no").with("before", before).with("version", appliedVersion_).with("changed", update.entries_.size()).with("removed", update.removed_.size()).with("missing", update.missing_.size());
 }
 
-void EngineCatalog::removeUnnamed(const EngineUpdate& whole)
+void EngineCatalog::removeUnlisted(const EngineUpdate& whole)
 {
     std::set<std::string> named(whole.unchanged_.begin(), whole.unchanged_.end());
     for (const ObjectEntry& entry : whole.entries_)
         named.insert(entry.key_);
-    for (const std::string& key : keysWithout(named))
+    for (const std::string& key : keysNotIn(named))
         remove(key, ObjectVersion(whole.version_), "goneByPeer");
 }
 
-void EngineCatalog::takeMissing(const EngineUpdate& update, TimePoint now)
+void EngineCatalog::applyMissing(const EngineUpdate& update, TimePoint now)
 {
     for (const MissingEngine& missing : update.missing_) {
-        const bool isSuccessorKnown = isOlder(missing.key_, missing.version_);
-        if (!isSuccessorKnown)
-            miss(missing.key_, missing.version_, now + missing.goneIn_);
+        const bool hasNewerEntry = isOlder(missing.key_, missing.version_);
+        if (!hasNewerEntry)
+            markMissing(missing.key_, missing.version_, now + missing.goneIn_);
         else if (update.isWhole_)
             remove(missing.key_, ObjectVersion(update.version_), "goneByPeer"); // the whole update lacks this node's newer entry
     }
--- a/libs/serving/src/EngineCatalog.h
+++ b/libs/serving/src/EngineCatalog.h
@@ -42,7 +42,7 @@
     // Applies a complete list of entries with values. An engine that isn't listed was removed; it stays in use for `grace`.
     void list(const std::vector<ObjectEntry>& entries, PageVersions versions, TimePoint now, Duration grace);
     // Applies the changes that a long-poll call returned: all changes between the store's previous answer and `version`, in order.
-    void follow(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now, Duration grace);
+    void applyChanges(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now, Duration grace);
 
     // Removes the missing engines whose grace period is over.
     void tick(TimePoint now);
@@ -50,60 +50,60 @@
     // ---- between nodes
 
     // Returns the version up to which all changes have been applied; 0 if there are none.
-    std::uint64_t version() const { return newest_; }
+    std::uint64_t version() const { return appliedVersion_; }
     // Raises version() to `version`, which a peer has reported, if the store's answers already cover it. Returns whether all changes
     // up to `version` have been applied.
-    bool knowsAsMuch(std::uint64_t version);
-    bool isKnown() const { return isKnown_; }
+    bool tryAdvanceTo(std::uint64_t version);
+    bool isInitialized() const { return isInitialized_; }
     void forEach(const std::function<void(const EngineEntry&)>& visit) const;
     // Builds an update for a peer that has applied all changes up to `since`.
     EngineUpdate updateSince(std::uint64_t since, TimePoint now) const;
     // Applies an update from a peer; `peer` is the sender's name for the log.
-    void take(const EngineUpdate& update, std::string_view peer, TimePoint now);
+    void applyUpdate(const EngineUpdate& update, std::string_view peer, TimePoint now);
 
 private:
-    struct Known {
+    struct KnownEngine {
         EngineEntry entry_;
         std::string value_; // the entry as stored
         ObjectVersion version_;
         // Time at which this node removes an engine whose entry is missing; neverTime if the entry isn't missing. Invariant: if it
-        // isn't neverTime, the store removed the entry at missingVersion_.
-        TimePoint goneAt_ = neverTime;
-        ObjectVersion missingVersion_;
+        // isn't neverTime, the store removed the entry at removalVersion_.
+        TimePoint removeAt_ = neverTime;
+        ObjectVersion removalVersion_;
 
-        bool isMissing() const { return goneAt_ != neverTime; }
+        bool isMissing() const { return removeAt_ != neverTime; }
     };
 
     void put(const std::string& key, const std::string& value, ObjectVersion version);
-    // Applies an entry from an answer of the store that shows the state at version `answeredAt`.
-    void putAnswered(const std::string& key, const std::string& value, ObjectVersion version, ObjectVersion answeredAt);
-    void gone(const std::string& key, ObjectVersion version, TimePoint now, Duration grace);
-    void knowsUpTo(std::uint64_t version);
+    // Applies an entry from an answer of the store that shows the state at version `answerVersion`.
+    void putFromAnswer(const std::string& key, const std::string& value, ObjectVersion version, ObjectVersion answerVersion);
+    void handleRemoval(const std::string& key, ObjectVersion version, TimePoint now, Duration grace);
+    void advanceTo(std::uint64_t version);
     bool isOlder(const std::string& key, ObjectVersion version) const;
-    void miss(const std::string& key, ObjectVersion version, TimePoint goneAt);
+    void markMissing(const std::string& key, ObjectVersion version, TimePoint removeAt);
     void remove(const std::string& key, ObjectVersion version, std::string_view why);
     // Applies the listed entries that are not newer than `version`, the version of the list's first page, and returns their keys.
-    std::set<std::string> putListed(const std::vector<ObjectEntry>& entries, ObjectVersion version);
+    std::set<std::string> putFromList(const std::vector<ObjectEntry>& entries, ObjectVersion version);
     // Returns the keys of known engines that are not in `named`.
-    std::vector<std::string> keysWithout(const std::set<std::string>& named) const;
+    std::vector<std::string> keysNotIn(const std::set<std::string>& named) const;
     static bool isCompleteFrom(std::uint64_t version, const EngineUpdate& update);
-    void removeUnnamed(const EngineUpdate& whole);
-    void takeMissing(const EngineUpdate& update, TimePoint now);
+    void removeUnlisted(const EngineUpdate& whole);
+    void applyMissing(const EngineUpdate& update, TimePoint now);
 
     const Translation& translation_;
     DecisionLog& log_;
     std::map<std::string, std::string> regions_; // by failure domain
     Changed changed_;
     Removed removed_;
-    std::map<std::string, Known> known_; // by the entry's key. Invariant: no entry's version is higher than newest_.
+    std::map<std::string, KnownEngine> engines_; // by the entry's key. Invariant: no entry's version is higher than appliedVersion_.
     RemovalHistory removals_; // for peers that have an engine's entry but not its removal
-    std::uint64_t newest_ = 0; // version up to which all changes of engines have been applied
-    // The store's version in its last answer. Between newest_ and this version no engine changed, except for engines that were
+    std::uint64_t appliedVersion_ = 0; // version up to which all changes of engines have been applied
+    // The store's version in its last answer. Between appliedVersion_ and this version no engine changed, except for engines that were
     // added and removed again. Most store versions belong to other objects, so this version isn't reported to peers.
-    std::uint64_t answeredUpTo_ = 0;
-    bool isKnown_ = false;
+    std::uint64_t answeredVersion_ = 0;
+    bool isInitialized_ = false;
     // Lower bound of the times at which missing engines are removed; neverTime if no engine is missing.
-    TimePoint nextEnd_ = neverTime;
+    TimePoint nextRemovalAt_ = neverTime;
 };
 
 } // namespace jj
--- a/libs/serving/src/FollowerTimes.h
+++ b/libs/serving/src/FollowerTimes.h
@@ -13,25 +13,25 @@
     // a peer's newer version. When all watchers' connections fall silent together, no peer has a newer version. The time is therefore
     // well below 4 s: that long after a disturbance a node counts as undisturbed again and must be up to date. It costs 8 calls per
     // 2.5 s with two regions: two watchers per region poll for the configuration and for the engines.
-    Duration heldOpen_ = 2500ms;
-    Duration firstRetry_ = 100ms;
-    Duration longestRetry_ = 1s;
+    Duration longPollTime_ = 2500ms;
+    Duration initialRetryDelay_ = 100ms;
+    Duration maxRetryDelay_ = 1s;
     // How long a watcher waits for its own answer from the store, after a peer has reported a newer version, before it requests
     // that version.
-    Duration behindBound_ = 250ms;
-    Duration askEvery_ = 400ms;
+    Duration maxLag_ = 250ms;
+    Duration minRequestInterval_ = 400ms;
     // Pause after a long-poll answer with changes. Engines register one by one, and the pause avoids a separate call for each of
     // them. 500 ms is a fifth of the shortest time after which a leaving engine must receive no more requests.
-    Duration betweenChanges_ = 500ms;
+    Duration pauseAfterChanges_ = 500ms;
     // How long a process waits for its peers to send a long first list before it reads the list from the store itself.
-    Duration leftToPeers_ = 2500ms;
+    Duration peerListTimeout_ = 2500ms;
 };
 
-// Returns the delay before the next try, which doubles with each failure from firstRetry_ up to longestRetry_.
-inline Duration retryAfter(const FollowerTimes& times, std::uint32_t failures)
+// Returns the delay before the next try, which doubles with each failure from initialRetryDelay_ up to maxRetryDelay_.
+inline Duration retryDelay(const FollowerTimes& times, std::uint32_t failures)
 {
-    constexpr std::uint32_t mostDoublings = 8;
-    return std::min<Duration>(times.longestRetry_, times.firstRetry_ * (1LL << std::min(failures, mostDoublings)));
+    constexpr std::uint32_t maxDoublings = 8;
+    return std::min<Duration>(times.maxRetryDelay_, times.initialRetryDelay_ * (1LL << std::min(failures, maxDoublings)));
 }
 
 } // namespace jj
--- a/libs/serving/src/JobFront.cpp
+++ b/libs/serving/src/JobFront.cpp
@@ -16,27 +16,27 @@
     constexpr Duration retryAfter = 300ms;
     constexpr std::size_t mostOwners = 8192;
 
-    Duration waitOf(const JobCall& call)
+    Duration waitOf(const JobRequest& call)
     {
-        const auto* read = std::get_if<JobRead>(&call);
+        const auto* read = std::get_if<JobReadRequest>(&call);
         return read ? read->wait_ : Duration::zero();
     }
 
-    const JobName& jobOf(const JobCall& call)
+    const JobName& jobOf(const JobRequest& call)
     {
         return std::visit([](const auto& one) -> const JobName& { return one.job_; }, call);
     }
 
-    PeerCall peerCallOf(const JobCall& call, Duration wait)
+    PeerCall peerCallOf(const JobRequest& call, Duration wait)
     {
-        if (const auto* read = std::get_if<JobRead>(&call))
+        if (const auto* read = std::get_if<JobReadRequest>(&call))
             return ReadAsk { read->job_, read->after_, static_cast<std::uint32_t>(wait / 1ms) };
-        if (const auto* body = std::get_if<JobBody>(&call))
+        if (const auto* body = std::get_if<ItemBodyRequest>(&call))
             return BodyAsk { body->job_, body->item_ };
-        return EndAsk { std::get<JobEnd>(call).job_ };
+        return EndAsk { std::get<JobCancelRequest>(call).job_ };
     }
 
-    std::string_view nameOf(const JobCall& call)
+    std::string_view nameOf(const JobRequest& call)
     {
         static constexpr std::string_view names[] = { "read", "body", "end" };
         return names[call.index()];
@@ -46,7 +46,7 @@
 
 struct JobFront::Asked {
     std::shared_ptr<http::Exchange> exchange_;
-    JobCall call_;
+    JobRequest call_;
     TimePoint began_ {};
     int hops_ = 0;
     NodeId next_; // node to query next
@@ -63,7 +63,7 @@
 {
     IntakeOutlets outlets;
     outlets.store_ = [&store](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store.send(std::move(call), callClass, until, std::move(done)); };
-    outlets.isStoreUnavailable_ = [&store] { return store.isAway(); };
+    outlets.isStoreUnavailable_ = [&store] { return store.isUnreachable(); };
     outlets.chooseReplicas_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->keepersOf({ context_.settings_.lostHosts_, context_.settings_.lostDomains_, context_.settings_.lostRegions_ }, silent); };
     outlets.requestSpooling_ = [this](NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done) { keepAt(host, std::move(job), std::move(done)); };
     outlets.discardCopy_ = [this](NodeId host, const JobName& job) { forgetAt(host, job); };
@@ -80,7 +80,7 @@
 void JobFront::submit(const std::shared_ptr<http::Exchange>& exchange, const Route& route)
 {
     const TimePoint began = context_.now();
-    auto submission = context_.translation_.readSubmission_(exchange->request());
+    auto submission = context_.translation_.parseSubmission_(exchange->request());
     if (!submission) {
         context_.log_.line("jobRefused").with("request", exchange->request().headers_.find(context_.translation_.headers_.attemptId_)).with("error", submission.error().message());
         return exchange->respond(refusal(context_.translation_, 400, "job.Unreadable", submission.error().message(), RunState::NotRun, {}));
@@ -170,7 +170,7 @@
     owners_[job] = owner;
 }
 
-void JobFront::call(std::shared_ptr<http::Exchange> exchange, JobCall call)
+void JobFront::call(std::shared_ptr<http::Exchange> exchange, JobRequest call)
 {
     auto asked = std::make_shared<Asked>();
     asked->exchange_ = std::move(exchange);
@@ -209,21 +209,21 @@
 void JobFront::askHere(const AskedPtr& asked, bool force)
 {
     const TimePoint now = context_.now();
-    if (const auto* read = std::get_if<JobRead>(&asked->call_)) {
+    if (const auto* read = std::get_if<JobReadRequest>(&asked->call_)) {
         return scheduler_.read(read->job_, read->after_, hopTimes(read->wait_, now - asked->began_).wait_, force, now, [this, asked](ReadAnswer answer) {
             const ReadOutcome outcome = answer.outcome_;
             const NodeId owner = answer.owner_;
             answered(asked, outcome, owner, true, std::move(answer));
         });
     }
-    if (const auto* body = std::get_if<JobBody>(&asked->call_)) {
+    if (const auto* body = std::get_if<ItemBodyRequest>(&asked->call_)) {
         return scheduler_.body(body->job_, body->item_, force, now, [this, asked](BodyAnswer answer) {
             const ReadOutcome outcome = answer.outcome_;
             const NodeId owner = answer.owner_;
             answered(asked, outcome, owner, true, std::move(answer));
         });
     }
-    scheduler_.end(std::get<JobEnd>(asked->call_).job_, force, now, [this, asked](CancelAnswer answer) { answered(asked, answer.outcome_, answer.owner_, true, answer); });
+    scheduler_.end(std::get<JobCancelRequest>(asked->call_).job_, force, now, [this, asked](CancelAnswer answer) { answered(asked, answer.outcome_, answer.owner_, true, answer); });
 }
 
 void JobFront::answered(const AskedPtr& asked, ReadOutcome outcome, NodeId owner, bool wasHere, const PeerReply& reply)
@@ -252,7 +252,7 @@
     if (outcome == ReadOutcome::Missing)
         return exchange.respond(refusal(context_.translation_, 404, "job.NotFound", "no such job or item", RunState::NotRun, {}));
     if (const auto* read = std::get_if<ReadAnswer>(&reply))
-        return exchange.respond({ 200, { { "Content-Type", "application/json" } }, context_.translation_.writeResults_(*read) });
+        return exchange.respond({ 200, { { "Content-Type", "application/json" } }, context_.translation_.formatResults_(*read) });
     if (const auto* body = std::get_if<BodyAnswer>(&reply))
         return exchange.respond({ 200, { { "Content-Type", "application/octet-stream" } }, body->body_ });
     exchange.respond({ 200, { { "Content-Type", "application/json" } }, "{}" });
--- a/libs/serving/src/JobFront.h
+++ b/libs/serving/src/JobFront.h
@@ -16,7 +16,7 @@
     JobFront(Context& context, JobScheduler& scheduler, StoreLink& store);
 
     void submit(const std::shared_ptr<http::Exchange>& exchange, const Route& route);
-    void call(std::shared_ptr<http::Exchange> exchange, JobCall call);
+    void call(std::shared_ptr<http::Exchange> exchange, JobRequest call);
     // Sends a job that the store has accepted to its owner. A lost message only delays the job.
     void handToOwner(const JobName& job, const Acceptance& acceptance) { handToOwner(job, acceptance, 0); }
     void tick(TimePoint now) { intake_.tick(now); }
--- a/libs/serving/src/KindWatch.cpp
+++ b/libs/serving/src/KindWatch.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-    constexpr Duration heldOpen = 15s;
+    constexpr Duration longPollTime = 15s;
     constexpr Duration retryPeriod = 1s;
     // Interval of the lists while passive. It bounds the delay until this node finds an object that another node has found but could
     // not report to it.
@@ -13,46 +13,46 @@
 
 } // namespace
 
-void KindWatch::setPassive(bool passive)
+void KindWatch::setPassive(bool isPassive)
 {
     // Lists all objects again, because changes were not followed while the watch was passive.
-    if (passive_ && !passive) {
-        seen_ = ObjectVersion::none();
-        nextAt_ = SystemClock().now();
+    if (isPassive_ && !isPassive) {
+        followedVersion_ = ObjectVersion::none();
+        nextCallAt_ = SystemClock().now();
     }
-    passive_ = passive;
+    isPassive_ = isPassive;
 }
 
 void KindWatch::tick(TimePoint now)
 {
-    if (busy_ || now < nextAt_)
+    if (isCallInFlight_ || now < nextCallAt_)
         return;
-    if (passive_ || seen_.isNone())
-        read(passive_);
+    if (isPassive_ || followedVersion_.isNone())
+        read(isPassive_);
     else
         watch();
 }
 
-void KindWatch::again()
+void KindWatch::scheduleRetry()
 {
-    nextAt_ = SystemClock().now() + retryPeriod;
-    seen_ = ObjectVersion::none();
+    nextCallAt_ = SystemClock().now() + retryPeriod;
+    followedVersion_ = ObjectVersion::none();
 }
 
 void KindWatch::read(bool stale)
 {
-    busy_ = true;
+    isCallInFlight_ = true;
     ObjectCall call = ObjectCall::list(kind_);
     call.stale_ = stale;
     store_.once(call, [this](const ObjectAnswer& answer) {
-        busy_ = false;
+        isCallInFlight_ = false;
         if (!answer.ok())
-            return again();
+            return scheduleRetry();
         for (const ObjectEntry& entry : answer.entries_)
-            found_(entry.key_);
-        seen_ = answer.version_;
-        if (passive_)
-            nextAt_ = SystemClock().now() + passivePeriod;
+            onFound_(entry.key_);
+        followedVersion_ = answer.version_;
+        if (isPassive_)
+            nextCallAt_ = SystemClock().now() + passivePeriod;
         else
             watch();
     });
@@ -60,17 +60,17 @@
 
 void KindWatch::watch()
 {
-    busy_ = true;
-    store_.once(ObjectCall::changes(kind_, seen_, heldOpen), [this](const ObjectAnswer& answer) {
-        busy_ = false;
+    isCallInFlight_ = true;
+    store_.once(ObjectCall::changes(kind_, followedVersion_, longPollTime), [this](const ObjectAnswer& answer) {
+        isCallInFlight_ = false;
         if (!answer.ok())
-            return again();
+            return scheduleRetry();
         for (const ObjectChange& change : answer.changes_) {
             if (change.kind_ == ChangeKind::Put)
-                found_(change.key_);
+                onFound_(change.key_);
         }
-        seen_ = answer.version_;
-        if (!passive_)
+        followedVersion_ = answer.version_;
+        if (!isPassive_)
             watch();
     });
 }
--- a/libs/serving/src/KindWatch.h
+++ b/libs/serving/src/KindWatch.h
@@ -15,29 +15,29 @@
 class KindWatch {
 public:
     // `kind` is the key prefix of the objects, including its slash.
-    KindWatch(StoreLink& store, std::string kind, std::function<void(const std::string& key)> found)
+    KindWatch(StoreLink& store, std::string kind, std::function<void(const std::string& key)> onFound)
         : store_(store)
         , kind_(std::move(kind))
-        , found_(std::move(found))
+        , onFound_(std::move(onFound))
     {
     }
 
     // Sets whether the watch is passive, which it is initially.
-    void setPassive(bool passive);
+    void setPassive(bool isPassive);
     void tick(TimePoint now);
 
 private:
     void read(bool stale);
     void watch();
-    void again();
+    void scheduleRetry();
 
     StoreLink& store_;
     std::string kind_;
-    std::function<void(const std::string&)> found_;
-    ObjectVersion seen_;
-    bool passive_ = true;
-    bool busy_ = false;
-    TimePoint nextAt_ {};
+    std::function<void(const std::string&)> onFound_;
+    ObjectVersion followedVersion_;
+    bool isPassive_ = true;
+    bool isCallInFlight_ = false;
+    TimePoint nextCallAt_ {};
 };
 
 } // namespace jj
--- a/libs/serving/src/OutageGrace.h
+++ b/libs/serving/src/OutageGrace.h
@@ -23,24 +23,24 @@
     }
 
     // Records that a call could not reach the store.
-    void lost(TimePoint now) { lostAt_ = now; }
+    void recordFailure(TimePoint now) { failedAt_ = now; }
     // Records that the store answered a call. The first answer after an outage marks the store's recovery.
-    void answered(TimePoint now)
+    void recordSuccess(TimePoint now)
     {
-        if (lostAt_ == neverTime)
+        if (failedAt_ == neverTime)
             return;
-        lostAt_ = neverTime;
-        backAt_ = now;
+        failedAt_ = neverTime;
+        recoveredAt_ = now;
     }
 
-    // Returns the rest of the grace period, or zero if missing engines are to be removed at once. `reachedSince` is the time since
+    // Returns the rest of the grace period, or zero if missing engines are to be removed at once. `reachableSince` is the time since
     // which this node's other calls have reached the store.
-    Duration left(TimePoint reachedSince, TimePoint now) const { return std::max<Duration>(std::max(backAt_, reachedSince) + grace_ - now, Duration::zero()); }
+    Duration remaining(TimePoint reachableSince, TimePoint now) const { return std::max<Duration>(std::max(recoveredAt_, reachableSince) + grace_ - now, Duration::zero()); }
 
 private:
     Duration grace_;
-    TimePoint lostAt_ = neverTime; // neverTime if no call has failed since the last answer
-    TimePoint backAt_ {};
+    TimePoint failedAt_ = neverTime; // neverTime if no call has failed since the last answer
+    TimePoint recoveredAt_ {};
 };
 
 } // namespace jj
--- a/libs/serving/src/PeerLag.h
+++ b/libs/serving/src/PeerLag.h
@@ -1,7 +1,7 @@
 // Decides when a node requests an update after a peer has reported a newer version.
 //
 // A passive node doesn't read changes from the store, so it requests the update immediately. A node that follows the store first waits
-// FollowerTimes::behindBound_ for the change to arrive from there. Requests are at least FollowerTimes::askEvery_ apart, because new
+// FollowerTimes::maxLag_ for the change to arrive from there. Requests are at least FollowerTimes::minRequestInterval_ apart, because new
 // versions appear constantly while engines register.
 #pragma once
 
@@ -33,7 +33,7 @@
     // request.
     bool mustAskAgain(bool isPassive, TimePoint now)
     {
-        const Duration patience = isPassive ? Duration::zero() : times_.behindBound_;
+        const Duration patience = isPassive ? Duration::zero() : times_.maxLag_;
         return now - aheadSince_ >= patience && mayAsk(now);
     }
 
@@ -44,7 +44,7 @@
     // Returns whether the minimum interval since the last request has passed; if so, records `now` as the time of the next one.
     bool mayAsk(TimePoint now)
     {
-        if (now - askedAt_ < times_.askEvery_)
+        if (now - askedAt_ < times_.minRequestInterval_)
             return false;
         askedAt_ = now;
         return true;
--- a/libs/serving/src/RelayAnswer.cpp
+++ b/libs/serving/src/RelayAnswer.cpp
@@ -75,7 +75,7 @@
         return;
     call_ = nullptr;
     if (!rejected_)
-        context_.suspects_.answered(content(), context_.now());
+        context_.suspects_.recordAnswer(content(), context_.now());
     // A 4xx status other than 421 and 429 means that the request itself is at fault. That answer is forwarded to the caller even
     // if the engine did not execute the request.
     const bool isCallersFault = head_.status_ >= 400 && head_.status_ < firstServerError && head_.status_ != 429 && head_.status_ != misdirected;
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -112,7 +112,7 @@
 {
     if (started_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
-    exchange_->respond(refusal(context_.translation_, 503, "request.CrashesEngines", "engines crashed while running requests with this content; the request was not run", RunState::NotRun, CrashSuspects::blockTime));
+    exchange_->respond(refusal(context_.translation_, 503, "request.CrashesEngines", "engines crashed while running requests with this content; the request was not run", RunState::NotRun, CrashSuspects::blockDuration));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
     line("refused").with("reason", "crashesEngines").with("status", 503).with("afterMs", context_.now() - arrived_);
     end();
@@ -237,6 +237,6 @@
     return CrashSuspects::fingerprintOf(request.headers_.find("Host"), request.target_, request.body_);
 }
 
-bool RelayedRequest::crashesEngines() const { return !context_.suspects_.blocksNothing() && context_.suspects_.isBlocked(content(), context_.now()); }
+bool RelayedRequest::crashesEngines() const { return !context_.suspects_.hasNoMarks() && context_.suspects_.isBlocked(content(), context_.now()); }
 
 } // namespace jj
--- a/libs/serving/src/RemovalHistory.cpp
+++ b/libs/serving/src/RemovalHistory.cpp
@@ -8,27 +8,27 @@
 void RemovalHistory::add(std::uint64_t version, const std::string& key)
 {
     removals_.push_back({ version, key });
-    if (removals_.size() <= mostRemovals)
+    if (removals_.size() <= maxRemovals)
         return;
-    keptAfter_ = std::max(keptAfter_, removals_.front().version_);
+    completeAfter_ = std::max(completeAfter_, removals_.front().version_);
     removals_.pop_front();
 }
 
-void RemovalHistory::skip(VersionGap gap)
+void RemovalHistory::addGap(VersionGap gap)
 {
     const bool isEmpty = gap.to_ <= gap.from_ + 1;
     if (isEmpty)
         return;
     gaps_.push_back(gap);
-    if (gaps_.size() <= mostGaps)
+    if (gaps_.size() <= maxGaps)
         return;
-    keptAfter_ = std::max(keptAfter_, gaps_.front().to_);
+    completeAfter_ = std::max(completeAfter_, gaps_.front().to_);
     gaps_.pop_front();
 }
 
-bool RemovalHistory::covers(std::uint64_t since) const
+bool RemovalHistory::isCompleteSince(std::uint64_t since) const
 {
-    if (since <= keptAfter_)
+    if (since <= completeAfter_)
         return false;
     return std::none_of(gaps_.begin(), gaps_.end(), [since](const VersionGap& gap) { return gap.contains(since); });
 }
--- a/libs/serving/src/RemovalHistory.h
+++ b/libs/serving/src/RemovalHistory.h
@@ -29,18 +29,18 @@
     // node has applied all changes.
     void add(std::uint64_t version, const std::string& key);
     // Records that removals within the gap may be unknown.
-    void skip(VersionGap gap);
+    void addGap(VersionGap gap);
 
     // Returns whether all removals since that version are known.
-    bool covers(std::uint64_t since) const;
+    bool isCompleteSince(std::uint64_t since) const;
     // Returns the keys removed since that version. A key may occur twice.
     std::vector<std::string> keysSince(std::uint64_t since) const;
     // Returns the gaps that a node must also record when it takes over the removals since that version.
     std::vector<VersionGap> gapsSince(std::uint64_t since) const;
 
 private:
-    static constexpr std::size_t mostRemovals = 512;
-    static constexpr std::size_t mostGaps = 32;
+    static constexpr std::size_t maxRemovals = 512;
+    static constexpr std::size_t maxGaps = 32;
 
     struct Removal {
         std::uint64_t version_ = 0;
@@ -49,7 +49,7 @@
 
     std::deque<Removal> removals_; // Invariant: versions never decrease.
     std::deque<VersionGap> gaps_; // in the order in which they were recorded
-    std::uint64_t keptAfter_ = 0; // removals up to this version may be missing from the records
+    std::uint64_t completeAfter_ = 0; // removals up to this version may be missing from the records
 };
 
 } // namespace jj
--- a/libs/serving/src/RetirementDuty.cpp
+++ b/libs/serving/src/RetirementDuty.cpp
@@ -5,42 +5,42 @@
 
 namespace {
 
-    constexpr Duration reportBound = 30s;
+    constexpr Duration reportTimeout = 30s;
 
 } // namespace
 
-RetirementDuty::RetirementDuty(StoreLink& store, const Translation& translation, DecisionLog& log, std::string host, std::function<void()> begin, std::function<bool()> isEmpty)
+RetirementDuty::RetirementDuty(StoreLink& store, const Translation& translation, DecisionLog& log, std::string host, std::function<void()> startDraining, std::function<bool()> isEmpty)
     : store_(store)
     , translation_(translation)
     , log_(log)
     , key_(translation.keys_.retirements_ + std::move(host))
-    , begin_(std::move(begin))
+    , startDraining_(std::move(startDraining))
     , isEmpty_(std::move(isEmpty))
 {
 }
 
 void RetirementDuty::tick()
 {
-    if (asked_ && !reported_ && !reporting_ && isEmpty_())
+    if (isOrdered_ && !isCompletionReported_ && !isReportInFlight_ && isEmpty_())
         report(true);
 }
 
-void RetirementDuty::learned(const std::string& key)
+void RetirementDuty::onOrderFound(const std::string& key)
 {
-    if (key != key_ || asked_)
+    if (key != key_ || isOrdered_)
         return;
-    asked_ = true;
+    isOrdered_ = true;
     log_.line("retirementAsked").with("key", key);
-    begin_();
+    startDraining_();
     report(false);
 }
 
 void RetirementDuty::report(bool completed)
 {
-    reporting_ = true;
-    store_.send(ObjectCall::report(key_, translation_.writeRetirement_(completed)), CallClass::Commit, SystemClock().now() + reportBound, [this, completed](const SettledAnswer& answer, TimePoint) {
-        reporting_ = false;
-        reported_ = reported_ || (completed && answer.ok());
+    isReportInFlight_ = true;
+    store_.send(ObjectCall::report(key_, translation_.formatRetirement_(completed)), CallClass::Commit, SystemClock().now() + reportTimeout, [this, completed](const SettledAnswer& answer, TimePoint) {
+        isReportInFlight_ = false;
+        isCompletionReported_ = isCompletionReported_ || (completed && answer.ok());
         log_.line("retirementReported").with("state", completed ? "completed" : "running").with("error", answer.ok() ? "" : answer.answer_.error_.message());
     });
 }
--- a/libs/serving/src/RetirementDuty.h
+++ b/libs/serving/src/RetirementDuty.h
@@ -15,11 +15,11 @@
 class RetirementDuty {
 public:
     // `startDraining` stops accepting jobs and starts handing over the owned ones. `isEmpty` returns whether no job is left.
-    RetirementDuty(StoreLink& store, const Translation& translation, DecisionLog& log, std::string host, std::function<void()> begin, std::function<bool()> isEmpty);
+    RetirementDuty(StoreLink& store, const Translation& translation, DecisionLog& log, std::string host, std::function<void()> startDraining, std::function<bool()> isEmpty);
 
     void tick();
     // Handles the key of a retirement order found in the store. Orders for other hosts are ignored.
-    void learned(const std::string& key);
+    void onOrderFound(const std::string& key);
 
 private:
     void report(bool completed);
@@ -28,11 +28,11 @@
     const Translation& translation_;
     DecisionLog& log_;
     std::string key_; // key of the order for this host
-    std::function<void()> begin_;
+    std::function<void()> startDraining_;
     std::function<bool()> isEmpty_;
-    bool asked_ = false;
-    bool reported_ = false;
-    bool reporting_ = false;
+    bool isOrdered_ = false;
+    bool isCompletionReported_ = false;
+    bool isReportInFlight_ = false;
 };
 
 } // namespace jj
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -198,9 +198,9 @@
         report.use_ = board_.ownUse(context_.now());
         report.configVersion_ = config_->version();
         report.enginesVersion_ = catalog_->version();
-        report.watching_ = feed_->isFollowing() && !store_->isAway();
+        report.watching_ = feed_->isFollowing() && !store_->isUnreachable();
         report.keepsJobs_ = takesCopies();
-        report.lostStore_ = store_->isDirectLost();
+        report.lostStore_ = store_->isDirectFailing();
         report.keptJobs_ = spool_ ? static_cast<std::uint32_t>(spool_->size()) : 0;
         return report;
     };
@@ -228,7 +228,7 @@
     };
     handlers.onCrashMark_ = [this](Fingerprint mark, Duration remaining) {
         log_.line("crashMarkLearned").with("mark", mark.value());
-        context_.suspects_.learned(mark, remaining, context_.now());
+        context_.suspects_.addPeerMark(mark, remaining, context_.now());
     };
     handlers.onGone_ = [this](NodeId node) {
         board_.dropNodeReport(node);
@@ -302,7 +302,7 @@
     spool.maxBytes_ = settings_.diskBytes_ / usedPart;
     SpoolOutlets outlets;
     outlets.store_ = [this](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store_->send(std::move(call), callClass, until, std::move(done)); };
-    outlets.isStoreUnavailable_ = [this] { return store_->isAway(); };
+    outlets.isStoreUnavailable_ = [this] { return store_->isUnreachable(); };
     outlets.ownerOf_ = [this](const JobName& job) { return fleet_->preferredOwner(job, fleet_->self()); };
     outlets.notifyOwner_ = [this](const JobName& job, const Acceptance& acceptance) { jobs_->handToOwner(job, acceptance); };
     outlets.note_ = [this](SpoolNote note, const JobName& job, std::error_code error) {
@@ -321,7 +321,7 @@
     // Hosts upload the jobs they spooled during an outage within about 3 s of its end. The start of this node counts as the end
     // of an outage, because no peer has reported its spooled jobs yet.
     constexpr Duration broughtWithin = 5s;
-    const bool wasAway = store_->isAway() || context_.now() - store_->backSince() < broughtWithin;
+    const bool wasAway = store_->isUnreachable() || context_.now() - store_->reachableSince() < broughtWithin;
     return wasAway || (spool_ && spool_->size() > 0) || fleet_->anyKeepsJobs();
 }
 
--- a/libs/serving/src/ServingParts.h
+++ b/libs/serving/src/ServingParts.h
@@ -68,7 +68,7 @@
     void onConfig(const std::shared_ptr<const RouteTable>& table);
     void waitForSignal();
     void reload();
-    bool isReady() const { return !draining_ && context_.table_ && catalog_->isKnown(); }
+    bool isReady() const { return !draining_ && context_.table_ && catalog_->isInitialized(); }
     void beginDrain();
     void continueDrain(TimePoint now);
     NodeId anyPeer(bool ownRegionFirst);
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -140,7 +140,7 @@
     if (!table)
         return exchange->respond(refusal(translation_, 503, "config.None", "this node has no configuration yet", RunState::NotRun, notReadyRetry));
     const std::string_view host = request.headers_.find("Host");
-    if (auto call = translation_.readJobCall_(request); call && table->findBatchRoute(host))
+    if (auto call = translation_.parseJobRequest_(request); call && table->findBatchRoute(host))
         return jobs_->call(std::move(exchange), std::move(*call));
     const Route* route = table->select(host, request.target_);
     if (!route) {
@@ -211,8 +211,8 @@
 void ServingNode::Parts::versionsHeard(KnownVersions versions)
 {
     const TimePoint now = context_.now();
-    config_->peerHas(versions.config_, now);
-    feed_->peerHas(versions.engines_, now);
+    config_->onPeerVersion(versions.config_, now);
+    feed_->onPeerVersion(versions.engines_, now);
 }
 
 // Nodes of other cells know only the delegates of this cell and send their requests to those. A delegate that runs no item on the
@@ -254,8 +254,8 @@
             return;
         }
         if (!update->config_.empty())
-            config_->take(update->config_, "peer");
-        catalog_->take(update->engines_, fleet_->addressOf(peer), context_.now());
+            config_->applyUpdate(update->config_, "peer");
+        catalog_->applyUpdate(update->engines_, fleet_->addressOf(peer), context_.now());
         fleet_->publishReport();
     });
 }
@@ -272,7 +272,7 @@
     if (config_->version() > ask.configVersion_)
         update.config_ = config_->value();
     update.engines_ = catalog_->updateSince(ask.enginesVersion_, now);
-    updateBudget_.spent(update.config_.size() + update.engines_.bytes(), now);
+    updateBudget_.recordSent(update.config_.size() + update.engines_.bytes(), now);
     reply(std::move(update));
 }
 
@@ -283,8 +283,8 @@
     if (now < watchChoiceAt_)
         return;
     watchChoiceAt_ = now + watchChoicePeriod;
-    const bool mustWatch = watchChoice_->mustWatch(fleet_->watchPeers(), fleet_->isLeaving(), feed_->isFollowing(), now);
-    const bool follows = mustWatch && (watching_ || watchChoice_->mayBegin(fleet_->isJoining(), now));
+    const bool shouldWatch = watchChoice_->shouldWatch(fleet_->watchPeers(), fleet_->isLeaving(), feed_->isFollowing(), now);
+    const bool follows = shouldWatch && (watching_ || watchChoice_->canStart(fleet_->isJoining(), now));
     if (follows == watching_)
         return;
     watching_ = follows;
@@ -327,7 +327,7 @@
     if (!foundAt_.try_emplace(key, now).second)
         return;
     if (key.starts_with(translation_.keys_.retirements_))
-        return retirement_->learned(key);
+        return retirement_->onOrderFound(key);
     const JobName job(jobOfCancelMark(key));
     log_.line("endMarked").with("job", job);
     scheduler_->handleCancelMark(job, now);
@@ -337,8 +337,8 @@
 {
     const TimePoint now = context_.now();
     if (auto* ask = std::get_if<StoreAsk>(&call)) {
-        store_->countForPeer();
-        return store_->direct(ask->call_, [reply](ObjectAnswer answer) { reply(std::move(answer)); });
+        store_->countPeerCall();
+        return store_->sendDirect(ask->call_, [reply](ObjectAnswer answer) { reply(std::move(answer)); });
     }
     if (const auto* ask = std::get_if<UpdateRequest>(&call))
         return answerUpdateRequest(*ask, reply);
@@ -413,7 +413,7 @@
         listening_ = false;
         callers_->drain();
     }
-    const bool isQuiet = (!callers_ || (!listening_ && callers_->openExchanges() == 0)) && hasHandedOn() && !store_->hasWork();
+    const bool isQuiet = (!callers_ || (!listening_ && callers_->openExchanges() == 0)) && hasHandedOn() && !store_->hasQueuedCalls();
     const bool isLate = sofar >= settings_.grace_ - graceMargin;
     if (endAt_ == neverTime && (isQuiet || isLate)) {
         log_.line("stopped").with("late", isLate && !isQuiet ? "yes" : "no").with("requests", relay_->open()).with("jobs", scheduler_->openJobs());
--- a/libs/serving/src/StoreLink.cpp
+++ b/libs/serving/src/StoreLink.cpp
@@ -7,7 +7,7 @@
 namespace {
 
     // Returns whether the route to the store failed, rather than the call itself.
-    bool isWayError(std::error_code error)
+    bool isRouteError(std::error_code error)
     {
         return error == ObjectError::Unavailable || error == ObjectError::OutcomeUnknown || error == ObjectError::RateLimited;
     }
@@ -26,116 +26,116 @@
     , log_(log)
     , client_(io, { .connectTime_ = 400ms, .pooledIdle_ = 10s, .pooledPerEndpoint_ = 16, .headerBytes_ = 16 * 1024, .bodyBytes_ = 16 * 1024 * 1024 })
     , queue_(settings.queue_, seed)
-    , backSince_(SystemClock().now())
+    , reachableSince_(SystemClock().now())
 {
 }
 
-Duration StoreLink::boundOf(const ObjectCall& call) const { return settings_.answerBound_ + call.wait_; }
+Duration StoreLink::timeoutOf(const ObjectCall& call) const { return settings_.answerTimeout_ + call.wait_; }
 
 // While direct calls fail, only a call without long polling tries the direct route again: a long-poll call would take too long to
 // show whether the route works.
-bool StoreLink::goesDirect(const ObjectCall& call, TimePoint now) const
+bool StoreLink::shouldSendDirect(const ObjectCall& call, TimePoint now) const
 {
-    return !directFails_ || (call.wait_ == Duration::zero() && now >= directAgainAt_);
+    return !isDirectFailing_ || (call.wait_ == Duration::zero() && now >= nextDirectTryAt_);
 }
 
 void StoreLink::send(ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done)
 {
     queue_.send(std::move(call), callClass, until, std::move(done));
-    pump(SystemClock().now());
+    sendQueuedCalls(SystemClock().now());
 }
 
 void StoreLink::tick(TimePoint now)
 {
     if (queue_.waiting() > 0)
-        pump(now);
+        sendQueuedCalls(now);
 }
 
-void StoreLink::pump(TimePoint now)
+void StoreLink::sendQueuedCalls(TimePoint now)
 {
-    if (pumping_)
+    if (isSending_)
         return;
-    pumping_ = true;
+    isSending_ = true;
     queue_.tick(now);
     for (OutgoingCall& outgoing : queue_.take()) {
         once(outgoing.call_, [this, id = outgoing.id_](ObjectAnswer answer) {
             const TimePoint at = SystemClock().now();
             queue_.answered(id, std::move(answer), at);
-            pump(at);
+            sendQueuedCalls(at);
         });
     }
-    pumping_ = false;
+    isSending_ = false;
 }
 
 void StoreLink::once(const ObjectCall& call, Completion done)
 {
     const TimePoint now = SystemClock().now();
-    const bool peersRest = now < peersAgainAt_;
-    if (!goesDirect(call, now) && !peersRest && peers_) {
+    const bool isPeerBackoffActive = now < nextPeerTryAt_;
+    if (!shouldSendDirect(call, now) && !isPeerBackoffActive && peerRoute_) {
         auto completion = [this, call, done](ObjectAnswer answer) {
-            learned(!isWayError(answer.error_), false, call, answer.error_);
+            recordOutcome(!isRouteError(answer.error_), false, call, answer.error_);
             done(std::move(answer));
         };
-        if (peers_(call, boundOf(call) + settings_.answerBound_ / 2, std::move(completion))) {
+        if (peerRoute_(call, timeoutOf(call) + settings_.answerTimeout_ / 2, std::move(completion))) {
             ++counts_.viaPeers_;
             return;
         }
     }
-    if (directFails_)
-        directAgainAt_ = now + settings_.directEvery_;
-    direct(call, std::move(done));
+    if (isDirectFailing_)
+        nextDirectTryAt_ = now + settings_.directRetryInterval_;
+    sendDirect(call, std::move(done));
 }
 
-void StoreLink::direct(const ObjectCall& call, Completion done)
+void StoreLink::sendDirect(const ObjectCall& call, Completion done)
 {
     ++counts_.direct_;
     ++callCounts_[std::string(verbName(call.verb_)).append(" ").append(call.key_.substr(0, call.key_.find('/')))];
     http::CallOptions options;
-    options.idle_ = boundOf(call);
-    client_.fetch(settings_.store_, translation_.writeStoreCall_(call), options, [this, call, done = std::move(done)](const Result<http::Response>& response, RunState run) {
+    options.idle_ = timeoutOf(call);
+    client_.fetch(settings_.store_, translation_.buildStoreRequest_(call), options, [this, call, done = std::move(done)](const Result<http::Response>& response, RunState run) {
         // A connection that made no progress may be broken, and so may the other pooled connections.
         if (!response && response.error() == http::Error::NoProgress)
             client_.dropPooled(settings_.store_);
-        ObjectAnswer answer = translation_.readStoreAnswer_(call, response, run);
-        learned(!isWayError(answer.error_), true, call, response ? answer.error_ : response.error());
+        ObjectAnswer answer = translation_.parseStoreAnswer_(call, response, run);
+        recordOutcome(!isRouteError(answer.error_), true, call, response ? answer.error_ : response.error());
         done(std::move(answer));
     });
 }
 
-void StoreLink::learned(bool answered, bool wasDirect, const ObjectCall& call, std::error_code error)
+void StoreLink::recordOutcome(bool answered, bool wasDirect, const ObjectCall& call, std::error_code error)
 {
     const TimePoint now = SystemClock().now();
     if (answered) {
-        if (wasDirect && directFails_)
+        if (wasDirect && isDirectFailing_)
             log_.line("storeRegained").with("way", "direct");
         if (wasDirect)
-            directFails_ = false;
-        peersFailed_ = 0;
-        if (away_) {
-            backSince_ = now;
+            isDirectFailing_ = false;
+        peerFailures_ = 0;
+        if (isUnreachable_) {
+            reachableSince_ = now;
             log_.line("storeBack").with("way", wasDirect ? "direct" : "peer");
         }
-        away_ = false;
+        isUnreachable_ = false;
         return;
     }
     ++counts_.failed_;
     if (wasDirect) {
-        if (!directFails_)
+        if (!isDirectFailing_)
             log_.line("storeLost").with("way", "direct").with("verb", verbName(call.verb_)).with("key", call.key_).with("error", error.message());
-        directFails_ = true;
-        directAgainAt_ = std::max(directAgainAt_, now + settings_.directEvery_);
-        if (!peers_ || now < peersAgainAt_)
-            away_ = true;
+        isDirectFailing_ = true;
+        nextDirectTryAt_ = std::max(nextDirectTryAt_, now + settings_.directRetryInterval_);
+        if (!peerRoute_ || now < nextPeerTryAt_)
+            isUnreachable_ = true;
         return;
     }
-    if (++peersFailed_ < settings_.peersTried_)
+    if (++peerFailures_ < settings_.maxPeerFailures_)
         return;
-    if (!away_)
+    if (!isUnreachable_)
         log_.line("storeLost").with("way", "peers").with("verb", verbName(call.verb_)).with("error", error.message());
-    away_ = true;
-    peersFailed_ = 0;
-    peersAgainAt_ = now + settings_.peersPause_;
-    directAgainAt_ = now;
+    isUnreachable_ = true;
+    peerFailures_ = 0;
+    nextPeerTryAt_ = now + settings_.peerBackoff_;
+    nextDirectTryAt_ = now;
 }
 
 } // namespace jj
--- a/libs/serving/src/StoreLink.h
+++ b/libs/serving/src/StoreLink.h
@@ -23,13 +23,13 @@
     CallQueueSettings queue_;
     // A call without an answer for this long counts as lost. The store usually answers within milliseconds, and within some 250 ms
     // when it is slow.
-    Duration answerBound_ = 1200ms;
+    Duration answerTimeout_ = 1200ms;
     // Interval of direct tries while peers carry the calls.
-    Duration directEvery_ = 1s;
+    Duration directRetryInterval_ = 1s;
     // After this many peers in a row couldn't reach the store either, the store counts as unreachable and no peer is tried for
-    // peersPause_.
-    std::uint32_t peersTried_ = 2;
-    Duration peersPause_ = 1500ms;
+    // peerBackoff_.
+    std::uint32_t maxPeerFailures_ = 2;
+    Duration peerBackoff_ = 1500ms;
 };
 
 // Counts of calls by verb and kind of object, for example "get jobs".
@@ -47,11 +47,11 @@
     using Completion = std::function<void(ObjectAnswer)>;
     // Sends the call through a peer and completes with Unavailable or OutcomeUnknown if that fails. Returns false if there is no
     // peer.
-    using PeerRoute = std::function<bool(const ObjectCall&, Duration bound, Completion)>;
+    using PeerRoute = std::function<bool(const ObjectCall&, Duration timeout, Completion)>;
 
     StoreLink(boost::asio::io_context& io, const StoreLinkSettings& settings, const Translation& translation, DecisionLog& log, std::uint64_t seed);
 
-    void setPeerRoute(PeerRoute route) { peers_ = std::move(route); }
+    void setPeerRoute(PeerRoute route) { peerRoute_ = std::move(route); }
 
     // Queues a call that is retried, read back after a lost answer and limited to this node's share of the call rate.
     void send(ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done);
@@ -60,39 +60,39 @@
     void once(const ObjectCall& call, Completion done);
     // Tries a call once, never through a peer. Also used for the calls that peers send through this node, so that a call passes
     // through at most one peer.
-    void direct(const ObjectCall& call, Completion done);
+    void sendDirect(const ObjectCall& call, Completion done);
 
     void tick(TimePoint now);
-    bool hasWork() const { return queue_.waiting() > 0; }
+    bool hasQueuedCalls() const { return queue_.waiting() > 0; }
     // Returns whether the last tries on all routes failed.
-    bool isAway() const { return away_; }
+    bool isUnreachable() const { return isUnreachable_; }
     // Returns whether this node's last direct call failed. Peers may still carry its calls.
-    bool isDirectLost() const { return directFails_; }
+    bool isDirectFailing() const { return isDirectFailing_; }
     // Returns the time of the store's last recovery, or of this object's construction if there was none.
-    TimePoint backSince() const { return backSince_; }
+    TimePoint reachableSince() const { return reachableSince_; }
     const StoreCounts& counts() const { return counts_; }
     const StoreCallCounts& callCounts() const { return callCounts_; }
-    void countForPeer() { ++counts_.forPeers_; }
+    void countPeerCall() { ++counts_.forPeers_; }
 
 private:
-    void pump(TimePoint now);
-    void learned(bool answered, bool wasDirect, const ObjectCall& call, std::error_code error);
-    bool goesDirect(const ObjectCall& call, TimePoint now) const;
-    Duration boundOf(const ObjectCall& call) const;
+    void sendQueuedCalls(TimePoint now);
+    void recordOutcome(bool answered, bool wasDirect, const ObjectCall& call, std::error_code error);
+    bool shouldSendDirect(const ObjectCall& call, TimePoint now) const;
+    Duration timeoutOf(const ObjectCall& call) const;
 
     StoreLinkSettings settings_;
     const Translation& translation_;
     DecisionLog& log_;
     http::Client client_;
     CallQueue queue_;
-    PeerRoute peers_;
-    bool directFails_ = false;
-    TimePoint directAgainAt_ {};
-    std::uint32_t peersFailed_ = 0; // consecutive failures
-    TimePoint peersAgainAt_ {};
-    bool away_ = false;
-    TimePoint backSince_ {};
-    bool pumping_ = false;
+    PeerRoute peerRoute_;
+    bool isDirectFailing_ = false;
+    TimePoint nextDirectTryAt_ {};
+    std::uint32_t peerFailures_ = 0; // consecutive failures
+    TimePoint nextPeerTryAt_ {};
+    bool isUnreachable_ = false;
+    TimePoint reachableSince_ {};
+    bool isSending_ = false;
     StoreCounts counts_;
     StoreCallCounts callCounts_;
 };
--- a/libs/serving/src/WatchChoice.h
+++ b/libs/serving/src/WatchChoice.h
@@ -11,7 +11,7 @@
 //
 // A node that started watching while it knew few others would continue until it received a watcher's report, and no such report
 // exists in the first half second: when 295 nodes started at once, 250 of them called the store. Therefore a node that isn't yet
-// following the store stops as soon as it learns of higher-ranked nodes, and its first call is delayed until then (beginsAt_).
+// following the store stops as soon as it learns of higher-ranked nodes, and its first call is delayed until then (firstCallAt_).
 //
 // While the store is unavailable no node can follow it, and all nodes would try: in an outage of 3 s, 84 nodes made 400 calls of
 // each of two kinds. Therefore a node waits longer the later it is in the order. When the store refuses only some nodes, the first
@@ -29,8 +29,8 @@
 // Another node, as seen by this one.
 struct WatchPeer {
     NodeId node_;
-    bool mayWatch_ = false; // in this node's region, alive and not leaving
-    bool isHeardWatching_ = false; // in any region: follows the store, according to a recent report
+    bool isEligible_ = false; // in this node's region, alive and not leaving
+    bool isReportedWatching_ = false; // in any region: follows the store, according to a recent report
 };
 
 class WatchChoice {
@@ -41,26 +41,26 @@
 
     // Decides again whether this node is to watch the store, records the decision and returns it. `isFollowing` says that the node
     // already follows the store, so that its reports name it as a watcher.
-    bool mustWatch(const std::vector<WatchPeer>& peers, bool isLeaving, bool isFollowing, TimePoint now);
+    bool shouldWatch(const std::vector<WatchPeer>& peers, bool isLeaving, bool isFollowing, TimePoint now);
     // Returns whether a node that is to watch may make its first call. `isJoining` says that it is still discovering the other
     // nodes.
-    bool mayBegin(bool isJoining, TimePoint now) const { return now >= beginsAt_ && (!isJoining || now >= joinedAt_); }
+    bool canStart(bool isJoining, TimePoint now) const { return now >= firstCallAt_ && (!isJoining || now >= joinDeadline_); }
 
 private:
     // Returns the number of eligible nodes in the region that rank above this one.
-    std::size_t placeAmong(const std::vector<WatchPeer>& peers) const;
+    std::size_t countHigherRanked(const std::vector<WatchPeer>& peers) const;
     // Records the time if a watcher is reported now. Returns whether no watcher is reported and the nodes ranked above this one have
     // had their time to try.
-    bool isMissed(const std::vector<WatchPeer>& peers, std::size_t place, TimePoint now);
+    bool isWatcherMissing(const std::vector<WatchPeer>& peers, std::size_t higherRanked, TimePoint now);
 
     std::uint64_t rank_;
-    TimePoint firstAt_;
-    TimePoint metAt_; // a fixed time after the start, by which enough nodes are known to tell which of them rank above this one
-    TimePoint joinedAt_; // from then on the first call no longer waits for joining to end
+    TimePoint earliestWatchAt_;
+    TimePoint discoveredAt_; // a fixed time after the start, by which enough nodes are known to tell which of them rank above this one
+    TimePoint joinDeadline_; // from then on the first call no longer waits for joining to end
     TimePoint settledAt_; // a fixed time after the start, by which all other nodes are known
-    TimePoint heardAt_ = neverTime; // when a watcher was last reported
-    bool watching_ = false;
-    TimePoint beginsAt_ = neverTime;
+    TimePoint watcherReportedAt_ = neverTime; // when a watcher was last reported
+    bool isWatching_ = false;
+    TimePoint firstCallAt_ = neverTime;
 };
 
 } // namespace jj
--- a/libs/serving/tests/CatalogFleetTest.cpp
+++ b/libs/serving/tests/CatalogFleetTest.cpp
@@ -21,25 +21,25 @@
 #else
 constexpr int schedules = 6;
 #endif
-constexpr std::size_t watchersOfRegion = 2;
+constexpr std::size_t watchersPerRegion = 2;
 constexpr Duration callTime = 15ms; // one-way time of a call between two hosts
 constexpr Duration watchPeriod = 100ms;
-constexpr Duration staleBy = 2s; // age of the list that a process starts from
+constexpr Duration listAge = 2s; // age of the list that a process starts from
 
 class CatalogFleet {
 public:
     CatalogFleet(const FleetShape& shape, std::uint64_t seed)
         : fleet_(shape, seed)
     {
-        fleet_.onVersions_ = [this](std::size_t place, KnownVersions versions) { hear(place, versions.engines_); };
-        fleet_.onTick_ = [this](std::size_t place) { tick(place); };
-        for (std::size_t place = 0; place < fleet_.size(); ++place)
+        fleet_.onVersions_ = [this](std::size_t hostIndex, KnownVersions versions) { receiveVersion(hostIndex, versions.engines_); };
+        fleet_.onTick_ = [this](std::size_t hostIndex) { tick(hostIndex); };
+        for (std::size_t hostIndex = 0; hostIndex < fleet_.size(); ++hostIndex)
             hosts_.push_back(std::make_unique<Host>());
         for (int engine = 0; engine < 40; ++engine)
             put("e" + std::to_string(engine));
-        fleet_.advance(staleBy + 500ms);
-        for (std::size_t place = 0; place < fleet_.size(); ++place)
-            begin(place);
+        fleet_.advance(listAge + 500ms);
+        for (std::size_t hostIndex = 0; hostIndex < fleet_.size(); ++hostIndex)
+            begin(hostIndex);
     }
 
     void advance(Duration time) { fleet_.advance(time); }
@@ -50,40 +50,40 @@
         changes_.push_back({ fleet_.now(), { ChangeKind::Put, ObjectVersion(changes_.size() + 1), key, "ready" } });
         engines_.insert(key);
     }
-    void removeAny()
+    void removeRandom()
     {
         const std::string key = *std::next(engines_.begin(), static_cast<std::ptrdiff_t>(pick(engines_.size())));
         engines_.erase(key);
         changes_.push_back({ fleet_.now(), { ChangeKind::Remove, ObjectVersion(changes_.size() + 1), key, {} } });
     }
 
-    void die(std::size_t place) { fleet_.setLive(place, false); }
-    void start(std::size_t place)
+    void stop(std::size_t hostIndex) { fleet_.setLive(hostIndex, false); }
+    void start(std::size_t hostIndex)
     {
-        fleet_.restart(place);
-        hosts_[place] = std::make_unique<Host>();
-        begin(place);
+        fleet_.restart(hostIndex);
+        hosts_[hostIndex] = std::make_unique<Host>();
+        begin(hostIndex);
     }
     // Cuts the host off without the other hosts noticing.
-    void setCut(std::size_t place, bool isCut) { fleet_.node(place).isCut_ = isCut; }
-    bool isCut(std::size_t place) { return fleet_.node(place).isCut_; }
+    void setCut(std::size_t hostIndex, bool isCut) { fleet_.node(hostIndex).isCut_ = isCut; }
+    bool isCut(std::size_t hostIndex) { return fleet_.node(hostIndex).isCut_; }
     std::size_t size() const { return hosts_.size(); }
 
     // Returns the number of hosts whose set of engines differs from the store's.
-    std::size_t behind() const
+    std::size_t countBehind() const
     {
-        return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [this](const auto& host) { return host->node_.using_ != engines_; }));
+        return static_cast<std::size_t>(std::count_if(hosts_.begin(), hosts_.end(), [this](const auto& host) { return host->node_.inUse_ != engines_; }));
     }
-    std::size_t asks() const { return asks_; }
+    std::size_t requests() const { return requests_; }
 
 private:
     struct Host {
         testing::Node node_;
         PeerLag lag_ { FollowerTimes() };
         UpdateBudget budget_;
-        std::uint64_t followedTo_ = 0;
+        std::uint64_t followedVersion_ = 0;
         TimePoint watchedAt_ {};
-        bool isAsking_ = false;
+        bool isRequestInFlight_ = false;
         std::uint64_t process_ = 0;
     };
     struct Change {
@@ -91,15 +91,15 @@
         ObjectChange change_;
     };
 
-    // Starts a process with a list that shows the store as it was `staleBy` ago.
-    void begin(std::size_t place)
+    // Starts a process with a list that shows the store as it was `listAge` ago.
+    void begin(std::size_t hostIndex)
     {
-        Host& host = *hosts_[place];
+        Host& host = *hosts_[hostIndex];
         host.process_ = ++processes_;
         std::map<std::string, ObjectEntry> state;
         std::uint64_t version = 0;
         for (const Change& one : changes_) {
-            if (one.at_ > fleet_.now() - staleBy)
+            if (one.at_ > fleet_.now() - listAge)
                 break;
             version = one.change_.version_.value();
             if (one.change_.kind_ == ChangeKind::Put)
@@ -112,64 +112,64 @@
         for (const auto& [key, entry] : state)
             entries.push_back(entry);
         host.node_.list(entries, ObjectVersion(version), fleet_.now());
-        host.followedTo_ = version;
-        publish(place);
+        host.followedVersion_ = version;
+        publish(hostIndex);
     }
 
-    void publish(std::size_t place)
+    void publish(std::size_t hostIndex)
     {
-        fleet_.node(place).versions_ = { 0, hosts_[place]->node_.catalog_.version() };
-        fleet_.node(place).exchange_->publish();
+        fleet_.node(hostIndex).versions_ = { 0, hosts_[hostIndex]->node_.catalog_.version() };
+        fleet_.node(hostIndex).exchange_->publish();
     }
 
-    bool isWatcher(std::size_t place)
+    bool isWatcher(std::size_t hostIndex)
     {
         std::size_t before = 0;
-        for (std::size_t other = 0; other < place; ++other)
-            before += !isCut(other) && fleet_.node(other).self_.region_ == fleet_.node(place).self_.region_ ? 1 : 0;
-        return before < watchersOfRegion;
+        for (std::size_t other = 0; other < hostIndex; ++other)
+            before += !isCut(other) && fleet_.node(other).self_.region_ == fleet_.node(hostIndex).self_.region_ ? 1 : 0;
+        return before < watchersPerRegion;
     }
 
-    void tick(std::size_t place)
+    void tick(std::size_t hostIndex)
     {
-        Host& host = *hosts_[place];
+        Host& host = *hosts_[hostIndex];
         const TimePoint now = fleet_.now();
         host.node_.catalog_.tick(now);
-        const bool watches = isWatcher(place);
+        const bool watches = isWatcher(hostIndex);
         if (watches && now - host.watchedAt_ >= watchPeriod)
-            watch(place);
-        if (!host.node_.catalog_.knowsAsMuch(host.lag_.version()) && host.lag_.mustAskAgain(!watches, now) && !watches)
-            ask(place);
+            watch(hostIndex);
+        if (!host.node_.catalog_.tryAdvanceTo(host.lag_.version()) && host.lag_.mustAskAgain(!watches, now) && !watches)
+            requestUpdate(hostIndex);
     }
 
-    void watch(std::size_t place)
+    void watch(std::size_t hostIndex)
     {
-        Host& host = *hosts_[place];
+        Host& host = *hosts_[hostIndex];
         host.watchedAt_ = fleet_.now();
         std::vector<ObjectChange> since;
-        for (std::size_t version = host.followedTo_; version < changes_.size(); ++version)
+        for (std::size_t version = host.followedVersion_; version < changes_.size(); ++version)
             since.push_back(changes_[version].change_);
-        host.followedTo_ = changes_.size();
+        host.followedVersion_ = changes_.size();
         if (since.empty())
             return;
-        host.node_.follow(since, ObjectVersion(changes_.size()), fleet_.now());
-        publish(place);
+        host.node_.applyChanges(since, ObjectVersion(changes_.size()), fleet_.now());
+        publish(hostIndex);
     }
 
-    void hear(std::size_t place, std::uint64_t version)
+    void receiveVersion(std::size_t hostIndex, std::uint64_t version)
     {
-        Host& host = *hosts_[place];
-        if (!host.node_.catalog_.knowsAsMuch(version) && host.lag_.mustAsk(version, !isWatcher(place), fleet_.now()))
-            ask(place);
+        Host& host = *hosts_[hostIndex];
+        if (!host.node_.catalog_.tryAdvanceTo(version) && host.lag_.mustAsk(version, !isWatcher(hostIndex), fleet_.now()))
+            requestUpdate(hostIndex);
     }
 
-    void ask(std::size_t place)
+    void requestUpdate(std::size_t hostIndex)
     {
-        Host& host = *hosts_[place];
-        if (host.isAsking_)
+        Host& host = *hosts_[hostIndex];
+        if (host.isRequestInFlight_)
             return;
         std::vector<UpdatePeer> known;
-        const ExchangeFleet::Node& self = fleet_.node(place);
+        const ExchangeFleet::Node& self = fleet_.node(hostIndex);
         for (const Peer& peer : self.peers_->rows()) {
             if (peer.isLive())
                 known.push_back({ peer.node_, peer.region_ == self.self_.region_, 0, peer.enginesVersion_ });
@@ -177,29 +177,29 @@
         const NodeId source = pickUpdateSource(known, 0, host.node_.catalog_.version(), fleet_.random());
         if (source.isNone())
             return;
-        ++asks_;
-        host.isAsking_ = true;
+        ++requests_;
+        host.isRequestInFlight_ = true;
         const std::uint64_t since = host.node_.catalog_.version();
-        fleet_.after(callTime, [this, place, process = host.process_, from = fleet_.placeOf(source), since] { answer(place, process, from, since); });
+        fleet_.after(callTime, [this, hostIndex, process = host.process_, from = fleet_.placeOf(source), since] { answer(hostIndex, process, from, since); });
     }
 
-    void answer(std::size_t place, std::uint64_t process, std::size_t from, std::uint64_t since)
+    void answer(std::size_t hostIndex, std::uint64_t process, std::size_t from, std::uint64_t since)
     {
         Host& source = *hosts_[from];
         std::optional<EngineUpdate> update;
         if (!isCut(from) && source.budget_.mayAnswer(fleet_.now())) {
             update = source.node_.catalog_.updateSince(since, fleet_.now());
-            source.budget_.spent(update->bytes(), fleet_.now());
+            source.budget_.recordSent(update->bytes(), fleet_.now());
         }
-        fleet_.after(callTime, [this, place, process, update = std::move(update)] {
-            Host& host = *hosts_[place];
+        fleet_.after(callTime, [this, hostIndex, process, update = std::move(update)] {
+            Host& host = *hosts_[hostIndex];
             if (host.process_ != process)
                 return;
-            host.isAsking_ = false;
-            if (!update || isCut(place))
+            host.isRequestInFlight_ = false;
+            if (!update || isCut(hostIndex))
                 return;
-            host.node_.catalog_.take(*update, "peer", fleet_.now());
-            publish(place);
+            host.node_.catalog_.applyUpdate(*update, "peer", fleet_.now());
+            publish(hostIndex);
         });
     }
 
@@ -208,7 +208,7 @@
     std::vector<Change> changes_;
     testing::Names engines_;
     std::uint64_t processes_ = 0;
-    std::size_t asks_ = 0;
+    std::size_t requests_ = 0;
 };
 
 FleetShape shapeOf(std::size_t nodes)
@@ -222,30 +222,30 @@
 }
 
 // Adds and removes engines while hosts stop, restart and are cut off; then restarts all hosts and reconnects them.
-void disturb(CatalogFleet& fleet, int turns)
+void disturb(CatalogFleet& fleet, int rounds)
 {
-    std::set<std::size_t> dead;
+    std::set<std::size_t> stopped;
     std::set<std::size_t> cut;
-    for (int turn = 0; turn < turns; ++turn) {
-        fleet.put("n" + std::to_string(turn));
-        fleet.removeAny();
-        const std::size_t place = fleet.pick(fleet.size());
+    for (int round = 0; round < rounds; ++round) {
+        fleet.put("n" + std::to_string(round));
+        fleet.removeRandom();
+        const std::size_t hostIndex = fleet.pick(fleet.size());
         switch (fleet.pick(4)) {
         case 0:
             for (std::size_t many = 0; many < fleet.size() / 5; ++many) {
                 const std::size_t one = fleet.pick(fleet.size());
-                if (cut.contains(one) || !dead.insert(one).second)
+                if (cut.contains(one) || !stopped.insert(one).second)
                     continue;
-                fleet.die(one);
+                fleet.stop(one);
             }
             break;
         case 1:
-            for (const std::size_t one : std::exchange(dead, {}))
+            for (const std::size_t one : std::exchange(stopped, {}))
                 fleet.start(one);
             break;
         case 2:
-            if (!dead.contains(place) && cut.insert(place).second)
-                fleet.setCut(place, true);
+            if (!stopped.contains(hostIndex) && cut.insert(hostIndex).second)
+                fleet.setCut(hostIndex, true);
             break;
         case 3:
             for (const std::size_t one : std::exchange(cut, {}))
@@ -254,7 +254,7 @@
         }
         fleet.advance(std::chrono::milliseconds(50 + fleet.pick(400)));
     }
-    for (const std::size_t one : dead)
+    for (const std::size_t one : stopped)
         fleet.start(one);
     for (const std::size_t one : cut)
         fleet.setCut(one, false);
@@ -270,26 +270,26 @@
         CatalogFleet fleet(shapeOf(300), static_cast<std::uint64_t>(seed));
         disturb(fleet, 16);
         fleet.advance(2s);
-        CHECK(fleet.behind() == 0);
+        CHECK(fleet.countBehind() == 0);
     }
 }
 
 // Guards against updates that take longer, or require more requests per host, in a larger fleet.
 TEST_CASE("catalog fleet: a removal reaches 300 hosts as fast as 60, with as many requests per host")
 {
-    const auto played = [](std::size_t nodes) {
+    const auto simulate = [](std::size_t nodes) {
         CatalogFleet fleet(shapeOf(nodes), 5);
         fleet.advance(1s);
-        const std::size_t asksBefore = fleet.asks();
-        fleet.removeAny();
+        const std::size_t requestsBefore = fleet.requests();
+        fleet.removeRandom();
         Duration time {};
-        for (; fleet.behind() > 0 && time < 5s; time += 20ms)
+        for (; fleet.countBehind() > 0 && time < 5s; time += 20ms)
             fleet.advance(20ms);
-        return std::pair(time, static_cast<double>(fleet.asks() - asksBefore) / static_cast<double>(nodes));
+        return std::pair(time, static_cast<double>(fleet.requests() - requestsBefore) / static_cast<double>(nodes));
     };
-    const auto [few, fewAsks] = played(60);
-    const auto [many, manyAsks] = played(300);
-    MESSAGE("time until all hosts are up to date: ", toSeconds(few), " s with 60 hosts, ", toSeconds(many), " s with 300; requests per host: ", fewAsks, ", ", manyAsks);
+    const auto [few, fewRequests] = simulate(60);
+    const auto [many, manyRequests] = simulate(300);
+    MESSAGE("time until all hosts are up to date: ", toSeconds(few), " s with 60 hosts, ", toSeconds(many), " s with 300; requests per host: ", fewRequests, ", ", manyRequests);
     CHECK(many <= 1200ms);
-    CHECK(manyAsks < 4);
+    CHECK(manyRequests < 4);
 }
--- a/libs/serving/tests/CatalogNode.h
+++ b/libs/serving/tests/CatalogNode.h
@@ -21,7 +21,7 @@
 inline Translation plainEntries()
 {
     Translation translation;
-    translation.readEngine_ = [](std::string_view key, std::string_view value, const std::map<std::string, std::string>&) -> Checked<EngineEntry> {
+    translation.parseEngine_ = [](std::string_view key, std::string_view value, const std::map<std::string, std::string>&) -> Checked<EngineEntry> {
         if (value != "ready" && value != "draining")
             return Failure { PeerError::Unreadable, std::string(value) };
         EngineEntry entry;
@@ -35,20 +35,20 @@
 
 class Node {
 public:
-    Names using_; // engines that may receive requests
-    EngineCatalog catalog_ { translation(), log(), {}, [this](const EngineEntry& entry) { changed(entry); }, [this](const EngineEntry& entry) { using_.erase(entry.name_); } };
+    Names inUse_; // engines that may receive requests
+    EngineCatalog catalog_ { translation(), log(), {}, [this](const EngineEntry& entry) { changed(entry); }, [this](const EngineEntry& entry) { inUse_.erase(entry.name_); } };
 
     // Requests an update from `peer` and applies it, as a node does when a peer reports a newer version.
-    void ask(const Node& peer, TimePoint now) { catalog_.take(peer.catalog_.updateSince(catalog_.version(), now), "peer", now); }
+    void requestUpdate(const Node& peer, TimePoint now) { catalog_.applyUpdate(peer.catalog_.updateSince(catalog_.version(), now), "peer", now); }
 
     // Applies a one-page list of the store at `version`; missing engines stay in use for the given time.
-    void list(const std::vector<ObjectEntry>& entries, ObjectVersion version, TimePoint now = {}, Duration held = {}) { catalog_.list(entries, { version, version }, now, held); }
+    void list(const std::vector<ObjectEntry>& entries, ObjectVersion version, TimePoint now = {}, Duration gracePeriod = {}) { catalog_.list(entries, { version, version }, now, gracePeriod); }
 
     // Applies the changes that a long-poll call to the store returned.
-    void follow(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now = {}, Duration held = {}) { catalog_.follow(changes, version, now, held); }
+    void applyChanges(const std::vector<ObjectChange>& changes, ObjectVersion version, TimePoint now = {}, Duration gracePeriod = {}) { catalog_.applyChanges(changes, version, now, gracePeriod); }
 
-    void put(const std::string& key, const std::string& value, ObjectVersion version) { catalog_.follow({ { ChangeKind::Put, version, key, value } }, version, {}, {}); }
-    void remove(const std::string& key, ObjectVersion version, TimePoint now, Duration held) { catalog_.follow({ { ChangeKind::Remove, version, key, {} } }, version, now, held); }
+    void put(const std::string& key, const std::string& value, ObjectVersion version) { catalog_.applyChanges({ { ChangeKind::Put, version, key, value } }, version, {}, {}); }
+    void remove(const std::string& key, ObjectVersion version, TimePoint now, Duration gracePeriod) { catalog_.applyChanges({ { ChangeKind::Remove, version, key, {} } }, version, now, gracePeriod); }
 
 private:
     static const Translation& translation()
@@ -64,9 +64,9 @@
     void changed(const EngineEntry& entry)
     {
         if (entry.draining_)
-            using_.erase(entry.name_);
+            inUse_.erase(entry.name_);
         else
-            using_.insert(entry.name_);
+            inUse_.insert(entry.name_);
     }
 };
 
--- a/libs/serving/tests/CrashSuspectsTest.cpp
+++ b/libs/serving/tests/CrashSuspectsTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const Fingerprint deadly = CrashSuspects::fingerprintOf("h", "/ask", "deadly");
+const Fingerprint crashing = CrashSuspects::fingerprintOf("h", "/ask", "deadly");
 const Fingerprint innocent = CrashSuspects::fingerprintOf("h", "/ask", "innocent");
 
 UpstreamId engine(std::uint64_t number) { return UpstreamId(number); }
@@ -24,7 +24,7 @@
             at.lost(content, on, now);
         CrashSuspects& other = &at == &first_ ? second_ : first_;
         for (const Fingerprint mark : at.engineDown(on, now + 100ms))
-            other.learned(mark, CrashSuspects::blockTime, now + 200ms);
+            other.addPeerMark(mark, CrashSuspects::blockDuration, now + 200ms);
     }
 };
 
@@ -36,15 +36,15 @@
 {
     TimePoint now {};
     Pair nodes;
-    nodes.crash(nodes.first_, { deadly, innocent }, engine(1), now);
-    nodes.crash(nodes.second_, { deadly }, engine(2), now + 1s);
-    CHECK_FALSE(nodes.first_.isBlocked(deadly, now + 2s));
-    nodes.crash(nodes.first_, { deadly }, engine(3), now + 2s);
+    nodes.crash(nodes.first_, { crashing, innocent }, engine(1), now);
+    nodes.crash(nodes.second_, { crashing }, engine(2), now + 1s);
+    CHECK_FALSE(nodes.first_.isBlocked(crashing, now + 2s));
+    nodes.crash(nodes.first_, { crashing }, engine(3), now + 2s);
     now += 3s;
-    CHECK(nodes.first_.isBlocked(deadly, now));
-    CHECK(nodes.second_.isBlocked(deadly, now));
+    CHECK(nodes.first_.isBlocked(crashing, now));
+    CHECK(nodes.second_.isBlocked(crashing, now));
     CHECK_FALSE(nodes.first_.isBlocked(innocent, now));
-    CHECK_FALSE(nodes.first_.isBlocked(deadly, now + CrashSuspects::blockTime));
+    CHECK_FALSE(nodes.first_.isBlocked(crashing, now + CrashSuspects::blockDuration));
 }
 
 // Connections break while their engines stay alive. Counting every lost answer as a crash would block healthy requests.
@@ -54,12 +54,12 @@
     CrashSuspects suspects;
     for (std::uint64_t number = 1; number <= 5; ++number) {
         suspects.lost(innocent, engine(number), now);
-        suspects.engineLives(engine(number));
+        suspects.clearLosses(engine(number));
         CHECK(suspects.engineDown(engine(number), now).empty());
     }
     suspects.lost(innocent, engine(9), now);
-    CHECK(suspects.engineDown(engine(9), now + CrashSuspects::evidenceTime + 1ms).empty());
-    CHECK(suspects.blocksNothing());
+    CHECK(suspects.engineDown(engine(9), now + CrashSuspects::crashEvidenceTime + 1ms).empty());
+    CHECK(suspects.hasNoMarks());
 }
 
 // When whole racks crash, an innocent request can be lost twice. If its third attempt is answered, it must no longer be suspected.
@@ -69,7 +69,7 @@
     Pair nodes;
     nodes.crash(nodes.first_, { innocent }, engine(1), now);
     nodes.crash(nodes.first_, { innocent }, engine(2), now);
-    nodes.first_.answered(innocent, now);
+    nodes.first_.recordAnswer(innocent, now);
     nodes.crash(nodes.first_, { innocent }, engine(3), now + 2min);
     CHECK_FALSE(nodes.first_.isBlocked(innocent, now + 2min));
 }
@@ -80,13 +80,13 @@
 {
     const TimePoint now {};
     Pair nodes;
-    nodes.first_.answered(innocent, now);
-    nodes.second_.answered(innocent, now);
+    nodes.first_.recordAnswer(innocent, now);
+    nodes.second_.recordAnswer(innocent, now);
     for (std::uint64_t number = 1; number <= 3; ++number)
-        nodes.crash(number == 1 ? nodes.first_ : nodes.second_, { innocent, deadly }, engine(number), now + 5s);
+        nodes.crash(number == 1 ? nodes.first_ : nodes.second_, { innocent, crashing }, engine(number), now + 5s);
     CHECK_FALSE(nodes.first_.isBlocked(innocent, now + 6s));
     CHECK_FALSE(nodes.second_.isBlocked(innocent, now + 6s));
-    CHECK(nodes.first_.isBlocked(deadly, now + 6s));
+    CHECK(nodes.first_.isBlocked(crashing, now + 6s));
 }
 
 // A node that didn't see the answers to some content sends marks against it. A node that did see them keeps accepting the content.
@@ -97,6 +97,6 @@
     for (std::uint64_t number = 1; number <= 3; ++number)
         nodes.crash(nodes.first_, { innocent }, engine(number), now);
     CHECK(nodes.second_.isBlocked(innocent, now + 1s));
-    nodes.second_.answered(innocent, now + 1s);
+    nodes.second_.recordAnswer(innocent, now + 1s);
     CHECK_FALSE(nodes.second_.isBlocked(innocent, now + 2s));
 }
--- a/libs/serving/tests/DisseminationTest.cpp
+++ b/libs/serving/tests/DisseminationTest.cpp
@@ -19,8 +19,8 @@
 constexpr double linkBytesPerSecond = 30e6 / 8;
 constexpr Duration reportDelay = 50ms;
 constexpr Duration giveUpAfter = 600ms;
-constexpr Duration askEvery = 400ms;
-constexpr Duration askElsewhere = 100ms;
+constexpr Duration requestInterval = 400ms;
+constexpr Duration busyRetryDelay = 100ms;
 
 enum class Rule : std::uint8_t {
     AskTheNewest, // all nodes ask the same node
@@ -30,48 +30,48 @@
 Duration timeToAll(Rule rule, std::size_t bytes)
 {
     struct Node {
-        TimePoint knowsAt_ = neverTime;
+        TimePoint updatedAt_ = neverTime;
         TimePoint linkFreeAt_ {};
-        TimePoint asksAt_ {};
+        TimePoint nextRequestAt_ {};
         UpdateBudget budget_;
     };
     std::mt19937_64 random(11);
     std::vector<Node> all(nodes);
     for (std::size_t watcher = 0; watcher < watchers; ++watcher)
-        all[watcher * 50].knowsAt_ = TimePoint();
+        all[watcher * 50].updatedAt_ = TimePoint();
     const Duration sendTime = fromSeconds(static_cast<double>(bytes) / linkBytesPerSecond);
-    std::size_t known = watchers;
+    std::size_t updated = watchers;
     for (TimePoint now = TimePoint() + reportDelay; now < TimePoint() + 60s; now += 10ms) {
-        std::vector<UpdatePeer> heard;
+        std::vector<UpdatePeer> reported;
         for (std::size_t index = 0; index < nodes; ++index) {
-            const bool isHeard = all[index].knowsAt_ != neverTime && now - all[index].knowsAt_ >= reportDelay;
-            heard.push_back({ NodeId(index + 1), index < nodes / 2, isHeard ? 1U : 0U, 0 });
+            const bool isReported = all[index].updatedAt_ != neverTime && now - all[index].updatedAt_ >= reportDelay;
+            reported.push_back({ NodeId(index + 1), index < nodes / 2, isReported ? 1U : 0U, 0 });
         }
         for (std::size_t index = 0; index < nodes; ++index) {
             Node& node = all[index];
-            if (node.knowsAt_ != neverTime || now < node.asksAt_)
+            if (node.updatedAt_ != neverTime || now < node.nextRequestAt_)
                 continue;
-            const std::size_t source = rule == Rule::AskTheNewest ? 0 : pickUpdateSource(heard, 0, 0, random).value() - 1;
+            const std::size_t source = rule == Rule::AskTheNewest ? 0 : pickUpdateSource(reported, 0, 0, random).value() - 1;
             Node& from = all[source];
-            if (from.knowsAt_ == neverTime || now < from.knowsAt_) {
-                node.asksAt_ = now + askEvery;
+            if (from.updatedAt_ == neverTime || now < from.updatedAt_) {
+                node.nextRequestAt_ = now + requestInterval;
                 continue;
             }
             if (rule == Rule::Spread && !from.budget_.mayAnswer(now)) {
-                node.asksAt_ = now + askElsewhere;
+                node.nextRequestAt_ = now + busyRetryDelay;
                 continue;
             }
-            from.budget_.spent(bytes, now);
+            from.budget_.recordSent(bytes, now);
             const TimePoint begins = std::max(from.linkFreeAt_, now);
             from.linkFreeAt_ = begins + sendTime;
             if (begins - now > giveUpAfter) {
-                node.asksAt_ = now + giveUpAfter;
+                node.nextRequestAt_ = now + giveUpAfter;
                 continue;
             }
-            node.knowsAt_ = from.linkFreeAt_;
-            ++known;
+            node.updatedAt_ = from.linkFreeAt_;
+            ++updated;
         }
-        const bool isDone = known == nodes && std::ranges::all_of(all, [now](const Node& node) { return node.knowsAt_ <= now; });
+        const bool isDone = updated == nodes && std::ranges::all_of(all, [now](const Node& node) { return node.updatedAt_ <= now; });
         if (isDone)
             return now - TimePoint();
     }
@@ -95,13 +95,13 @@
 TEST_CASE("a node that is behind asks a peer that is ahead, in its own region first, or any peer when none is ahead")
 {
     std::mt19937_64 random(3);
-    const UpdatePeer behind { NodeId(1), true, 1, 5 };
-    const UpdatePeer far { NodeId(2), false, 2, 5 };
-    const UpdatePeer near { NodeId(3), true, 1, 6 };
-    for (int turn = 0; turn < 20; ++turn) {
-        CHECK(pickUpdateSource({ behind, far, near }, 1, 5, random) == NodeId(3));
-        CHECK(pickUpdateSource({ behind, far }, 1, 5, random) == NodeId(2));
-        CHECK(pickUpdateSource({ behind }, 1, 5, random) == NodeId(1));
+    const UpdatePeer notAhead { NodeId(1), true, 1, 5 };
+    const UpdatePeer otherRegion { NodeId(2), false, 2, 5 };
+    const UpdatePeer sameRegion { NodeId(3), true, 1, 6 };
+    for (int repetition = 0; repetition < 20; ++repetition) {
+        CHECK(pickUpdateSource({ notAhead, otherRegion, sameRegion }, 1, 5, random) == NodeId(3));
+        CHECK(pickUpdateSource({ notAhead, otherRegion }, 1, 5, random) == NodeId(2));
+        CHECK(pickUpdateSource({ notAhead }, 1, 5, random) == NodeId(1));
     }
     CHECK(pickUpdateSource({}, 1, 5, random).isNone());
 }
--- a/libs/serving/tests/EngineCatalogTest.cpp
+++ b/libs/serving/tests/EngineCatalogTest.cpp
@@ -14,20 +14,20 @@
     Node watcher;
     Node peer;
     watcher.list({ { "a", at(10), 5, "ready" }, { "b", at(11), 5, "ready" } }, at(11), start, grace);
-    peer.ask(watcher, start);
-    REQUIRE(peer.using_ == Names { "a", "b" });
+    peer.requestUpdate(watcher, start);
+    REQUIRE(peer.inUse_ == Names { "a", "b" });
 
     watcher.remove("a", at(20), start, grace);
     watcher.put("c", "ready", at(21));
-    peer.ask(watcher, start + 100ms);
-    CHECK(peer.using_ == Names { "a", "b", "c" });
+    peer.requestUpdate(watcher, start + 100ms);
+    CHECK(peer.inUse_ == Names { "a", "b", "c" });
     CHECK(peer.catalog_.version() == 21);
 
     for (Node* node : { &watcher, &peer }) {
         node->catalog_.tick(start + grace - 1ms);
-        CHECK(node->using_ == Names { "a", "b", "c" });
+        CHECK(node->inUse_ == Names { "a", "b", "c" });
         node->catalog_.tick(start + grace);
-        CHECK(node->using_ == Names { "b", "c" });
+        CHECK(node->inUse_ == Names { "b", "c" });
     }
 }
 
@@ -40,27 +40,27 @@
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10), start, grace);
     Node second;
     Node third;
-    second.ask(watcher, start);
-    third.ask(watcher, start);
+    second.requestUpdate(watcher, start);
+    third.requestUpdate(watcher, start);
     watcher.remove("a", at(20), start, grace);
 
-    second.ask(watcher, start + 50ms);
-    third.ask(second, start + 100ms);
+    second.requestUpdate(watcher, start + 50ms);
+    third.requestUpdate(second, start + 100ms);
     Node fourth;
-    fourth.ask(third, start + 150ms);
-    CHECK(fourth.using_ == Names { "a" });
+    fourth.requestUpdate(third, start + 150ms);
+    CHECK(fourth.inUse_ == Names { "a" });
     Node fifth;
-    fifth.ask(watcher, start + 150ms);
+    fifth.requestUpdate(watcher, start + 150ms);
     watcher.put("a", "ready", at(30));
-    fifth.ask(watcher, start + 200ms);
+    fifth.requestUpdate(watcher, start + 200ms);
 
     for (Node* node : { &watcher, &second, &third, &fourth, &fifth })
         node->catalog_.tick(start + grace);
-    CHECK(second.using_.empty());
-    CHECK(third.using_.empty());
-    CHECK(fourth.using_.empty());
-    CHECK(watcher.using_ == Names { "a" });
-    CHECK(fifth.using_ == Names { "a" });
+    CHECK(second.inUse_.empty());
+    CHECK(third.inUse_.empty());
+    CHECK(fourth.inUse_.empty());
+    CHECK(watcher.inUse_ == Names { "a" });
+    CHECK(fifth.inUse_ == Names { "a" });
 }
 
 // Guards against requests to a draining engine from a host that applies a list of the store older than a peer's update.
@@ -71,11 +71,11 @@
     peer.list({ { "a", at(20), 8, "draining" }, { "b", at(21), 5, "ready" } }, at(21), start, {});
     Node node;
     node.list({ { "a", at(10), 5, "ready" } }, at(10), start, {});
-    node.ask(peer, start);
-    REQUIRE(node.using_ == Names { "b" });
+    node.requestUpdate(peer, start);
+    REQUIRE(node.inUse_ == Names { "b" });
 
     node.list({ { "a", at(10), 5, "ready" } }, at(15), start, {});
-    CHECK(node.using_ == Names { "b" });
+    CHECK(node.inUse_ == Names { "b" });
 }
 
 TEST_CASE("an update contains the changes and removals since the requested version")
@@ -84,7 +84,7 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" }, { "b", at(11), 5, "ready" } }, at(11), start, {});
     Node peer;
-    peer.ask(watcher, start);
+    peer.requestUpdate(watcher, start);
 
     watcher.put("a", "draining", at(20));
     watcher.remove("b", at(21), start, {});
@@ -92,14 +92,14 @@
     CHECK_FALSE(update.isWhole_);
     CHECK(update.entries_.size() == 1);
     CHECK(update.removed_ == std::vector<std::string> { "b" });
-    peer.catalog_.take(update, "watcher", start);
-    CHECK(peer.using_.empty());
+    peer.catalog_.applyUpdate(update, "watcher", start);
+    CHECK(peer.inUse_.empty());
 
     // Applying the same update again must not undo a newer change.
     watcher.put("b", "ready", at(30));
-    peer.ask(watcher, start);
-    peer.catalog_.take(update, "watcher", start);
-    CHECK(peer.using_ == Names { "b" });
+    peer.requestUpdate(watcher, start);
+    peer.catalog_.applyUpdate(update, "watcher", start);
+    CHECK(peer.inUse_ == Names { "b" });
 }
 
 // Guards against requests to an engine whose entry was overwritten with unreadable bytes.
@@ -109,11 +109,11 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10), start, {});
     Node peer;
-    peer.ask(watcher, start);
+    peer.requestUpdate(watcher, start);
     watcher.put("a", "\x01", at(20));
-    CHECK(watcher.using_.empty());
-    peer.ask(watcher, start);
-    CHECK(peer.using_.empty());
+    CHECK(watcher.inUse_.empty());
+    peer.requestUpdate(watcher, start);
+    CHECK(peer.inUse_.empty());
 }
 
 // Guards against requests to a removed engine from a host that requested its update from a host which never knew the engine.
@@ -124,13 +124,13 @@
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10), start, {});
     Node slow;
     Node quick;
-    slow.ask(watcher, start);
-    quick.ask(watcher, start);
+    slow.requestUpdate(watcher, start);
+    quick.requestUpdate(watcher, start);
     watcher.put("b", "ready", at(20));
-    quick.ask(watcher, start);
-    REQUIRE(quick.using_ == Names { "a", "b" });
+    quick.requestUpdate(watcher, start);
+    REQUIRE(quick.inUse_ == Names { "a", "b" });
     watcher.remove("b", at(21), start, {});
-    slow.ask(watcher, start);
-    quick.ask(slow, start);
-    CHECK(quick.using_ == Names { "a" });
+    slow.requestUpdate(watcher, start);
+    quick.requestUpdate(slow, start);
+    CHECK(quick.inUse_ == Names { "a" });
 }
--- a/libs/serving/tests/EngineFeedTest.cpp
+++ b/libs/serving/tests/EngineFeedTest.cpp
@@ -18,12 +18,12 @@
     };
 
     void once(const ObjectCall& call, std::function<void(const ObjectAnswer&)> done) { calls_.push_back({ call, std::move(done) }); }
-    TimePoint backSince() const { return {}; }
+    TimePoint reachableSince() const { return {}; }
 
     std::vector<Call> calls_;
 };
 
-ObjectAnswer listed(std::vector<ObjectEntry> entries, std::uint64_t version)
+ObjectAnswer listAnswer(std::vector<ObjectEntry> entries, std::uint64_t version)
 {
     ObjectAnswer answer;
     answer.entries_ = std::move(entries);
@@ -31,7 +31,7 @@
     return answer;
 }
 
-ObjectAnswer changed(std::vector<ObjectChange> changes, std::uint64_t version)
+ObjectAnswer changesAnswer(std::vector<ObjectChange> changes, std::uint64_t version)
 {
     ObjectAnswer answer;
     answer.changes_ = std::move(changes);
@@ -46,7 +46,7 @@
         clock_.advance(10s);
         feed_.setPassive(false);
         feed_.tick(clock_.now());
-        answer(listed({ { "a", at(10), 5, "ready" } }, 10));
+        answer(listAnswer({ { "a", at(10), 5, "ready" } }, 10));
         feed_.tick(clock_.now());
     }
 
@@ -56,7 +56,7 @@
         const auto done = store_.calls_.back().done_;
         done(answer);
     }
-    void pass(Duration time)
+    void advanceAndTick(Duration time)
     {
         clock_.advance(time);
         feed_.tick(clock_.now());
@@ -78,15 +78,15 @@
 TEST_CASE("a watcher behind its peers requests the changes during the pause between two calls")
 {
     Watcher watcher;
-    watcher.answer(changed({ { ChangeKind::Put, at(20), "b", "ready" } }, 20));
-    watcher.feed_.peerHas(21, watcher.clock_.now());
+    watcher.answer(changesAnswer({ { ChangeKind::Put, at(20), "b", "ready" } }, 20));
+    watcher.feed_.onPeerVersion(21, watcher.clock_.now());
     const std::size_t before = watcher.store_.calls_.size();
-    watcher.pass(watcher.times_.behindBound_);
+    watcher.advanceAndTick(watcher.times_.maxLag_);
     REQUIRE(watcher.store_.calls_.size() == before + 1);
     CHECK(watcher.lastCall().verb_ == ObjectVerb::Changes);
-    watcher.answer(changed({ { ChangeKind::Remove, at(21), "a", {} } }, 21));
+    watcher.answer(changesAnswer({ { ChangeKind::Remove, at(21), "a", {} } }, 21));
     CHECK(watcher.node_.catalog_.version() == 21);
-    CHECK(watcher.node_.using_ == Names { "b" });
+    CHECK(watcher.node_.inUse_ == Names { "b" });
 }
 
 // Guards against an up-to-date read, which costs the store's full price, by every process when all processes start at once.
@@ -95,7 +95,7 @@
     Watcher node;
     CHECK(node.store_.calls_.front().call_.stale_);
     node.answer(ObjectAnswer::failed(ObjectError::Expired));
-    node.pass(1ms);
+    node.advanceAndTick(1ms);
     CHECK(node.lastCall().verb_ == ObjectVerb::List);
     CHECK_FALSE(node.lastCall().stale_);
 }
@@ -112,7 +112,7 @@
     DecisionLog log { "node", 1000, ::open("/dev/null", O_WRONLY | O_CLOEXEC) };
     EngineFeed<ScriptedStore, ManualClock> feed { clock, store, translation, log, times, {}, false, node.catalog_, [] {} };
     feed.tick(clock.now());
-    ObjectAnswer page = listed({ { "a", at(10), 5, "ready" } }, 10);
+    ObjectAnswer page = listAnswer({ { "a", at(10), 5, "ready" } }, 10);
     page.next_ = "a";
     store.calls_.back().done_(page);
     CHECK(store.calls_.size() == 1);
@@ -120,21 +120,21 @@
     {
         Node peer;
         peer.list({ { "a", at(10), 5, "ready" }, { "b", at(9), 5, "ready" } }, at(10));
-        node.ask(peer, clock.now());
-        clock.advance(times.leftToPeers_);
+        node.requestUpdate(peer, clock.now());
+        clock.advance(times.peerListTimeout_);
         feed.tick(clock.now());
         CHECK(store.calls_.size() == 1);
-        CHECK(node.using_ == Names { "a", "b" });
+        CHECK(node.inUse_ == Names { "a", "b" });
     }
     SUBCASE("no peer sends it")
     {
-        clock.advance(times.leftToPeers_);
+        clock.advance(times.peerListTimeout_);
         feed.tick(clock.now());
         REQUIRE(store.calls_.size() == 2);
         store.calls_.back().done_(page);
         REQUIRE(store.calls_.size() == 3);
-        store.calls_.back().done_(listed({ { "b", at(9), 5, "ready" } }, 10));
-        CHECK(node.using_ == Names { "a", "b" });
+        store.calls_.back().done_(listAnswer({ { "b", at(9), 5, "ready" } }, 10));
+        CHECK(node.inUse_ == Names { "a", "b" });
     }
 }
 
@@ -143,24 +143,24 @@
 {
     Watcher watcher;
     const auto silent = watcher.store_.calls_.back().done_;
-    watcher.pass(100ms);
-    watcher.feed_.peerHas(21, watcher.clock_.now());
-    watcher.pass(watcher.times_.behindBound_);
+    watcher.advanceAndTick(100ms);
+    watcher.feed_.onPeerVersion(21, watcher.clock_.now());
+    watcher.advanceAndTick(watcher.times_.maxLag_);
     CHECK(watcher.lastCall().verb_ == ObjectVerb::Changes);
-    watcher.answer(changed({ { ChangeKind::Remove, at(21), "a", {} } }, 21));
-    CHECK(watcher.node_.using_.empty());
-    silent(changed({ { ChangeKind::Put, at(12), "a", "ready" } }, 12));
-    CHECK(watcher.node_.using_.empty());
+    watcher.answer(changesAnswer({ { ChangeKind::Remove, at(21), "a", {} } }, 21));
+    CHECK(watcher.node_.inUse_.empty());
+    silent(changesAnswer({ { ChangeKind::Put, at(12), "a", "ready" } }, 12));
+    CHECK(watcher.node_.inUse_.empty());
 }
 
 // Guards against calls to the store for changes that a watcher has already applied.
 TEST_CASE("a watcher isn't behind a peer whose version its own last answer covers")
 {
     Watcher watcher;
-    watcher.answer(changed({}, 30));
+    watcher.answer(changesAnswer({}, 30));
     const std::size_t before = watcher.store_.calls_.size();
-    watcher.feed_.peerHas(25, watcher.clock_.now());
-    watcher.pass(watcher.times_.behindBound_);
+    watcher.feed_.onPeerVersion(25, watcher.clock_.now());
+    watcher.advanceAndTick(watcher.times_.maxLag_);
     CHECK(watcher.store_.calls_.size() == before);
     CHECK(watcher.node_.catalog_.version() == 25);
 }
@@ -170,8 +170,8 @@
 {
     Watcher watcher;
     watcher.answer(ObjectAnswer::failed(ObjectError::Expired));
-    watcher.pass(1ms);
+    watcher.advanceAndTick(1ms);
     CHECK(watcher.lastCall().verb_ == ObjectVerb::List);
-    watcher.answer(listed({ { "b", at(40), 5, "ready" } }, 41));
-    CHECK(watcher.node_.using_ == Names { "b" });
+    watcher.answer(listAnswer({ { "b", at(40), 5, "ready" } }, 41));
+    CHECK(watcher.node_.inUse_ == Names { "b" });
 }
--- a/libs/serving/tests/EngineHistoryTest.cpp
+++ b/libs/serving/tests/EngineHistoryTest.cpp
@@ -43,7 +43,7 @@
         changes_.push_back({ ChangeKind::Remove, at(version_), key, {} });
     }
     // Advances the version without changing an engine: versions are shared with other objects.
-    void skip() { ++version_; }
+    void advanceVersion() { ++version_; }
 
     std::uint64_t version() const { return version_; }
     const State& stateAt(std::uint64_t version) const { return std::prev(states_.upper_bound(version))->second; }
@@ -53,8 +53,8 @@
     {
         constexpr std::size_t pageSize = 3;
         std::vector<ObjectEntry> entries;
-        for (auto place = latest().lower_bound(from); place != latest().end() && entries.size() < pageSize; ++place)
-            entries.push_back(place->second);
+        for (auto position = latest().lower_bound(from); position != latest().end() && entries.size() < pageSize; ++position)
+            entries.push_back(position->second);
         return entries;
     }
     std::vector<ObjectChange> changesSince(std::uint64_t version) const
@@ -73,24 +73,24 @@
 // A host with at most one store call and one peer request in flight. Both answers can be delayed.
 struct Host {
     std::unique_ptr<Node> node_ = std::make_unique<Node>();
-    std::uint64_t followedTo_ = 0; // 0: the host must list
-    std::optional<std::vector<ObjectEntry>> listing_;
-    std::optional<std::vector<ObjectChange>> watching_;
-    std::uint64_t answeredAt_ = 0; // the store's version when the answer, or a list's first page, was read
-    std::uint64_t lastPageAt_ = 0;
+    std::uint64_t followedVersion_ = 0; // 0: the host must list
+    std::optional<std::vector<ObjectEntry>> pendingEntries_;
+    std::optional<std::vector<ObjectChange>> pendingChanges_;
+    std::uint64_t answerVersion_ = 0; // the store's version when the answer, or a list's first page, was read
+    std::uint64_t lastPageVersion_ = 0;
     std::optional<EngineUpdate> update_;
 
-    bool isCalling() const { return listing_ || watching_; }
+    bool isCalling() const { return pendingEntries_ || pendingChanges_; }
 };
 
 // Simulates some hosts and a store, driven by a seed: engines are added, changed and removed, answers are delayed, and hosts
 // restart empty.
-class Explored {
+class HistorySimulation {
 public:
     // Engines that are missing just after an outage stay in use for the given time.
-    Explored(std::uint64_t seed, Duration hold)
+    HistorySimulation(std::uint64_t seed, Duration gracePeriod)
         : random_(seed)
-        , hold_(hold)
+        , gracePeriod_(gracePeriod)
     {
     }
 
@@ -100,22 +100,22 @@
         switch (pick(12)) {
         case 0:
         case 1:
-            return store_.put(anyKey(), pick(4) == 0 ? "draining" : "ready");
+            return store_.put(randomKey(), pick(4) == 0 ? "draining" : "ready");
         case 2:
         case 3:
-            return store_.remove(anyKey());
+            return store_.remove(randomKey());
         case 4:
-            return store_.skip();
+            return store_.advanceVersion();
         case 5:
             return callStore(host);
         case 6:
         case 7:
-            return answerStore(host);
+            return applyStoreAnswer(host);
         case 8:
         case 9:
-            return askPeer(host);
+            return requestFromPeer(host);
         case 10:
-            return answerPeer(host);
+            return applyPeerAnswer(host);
         default:
             if (pick(6) == 0)
                 host = {};
@@ -123,94 +123,94 @@
     }
 
     // Advances the time until all grace periods are over.
-    void endHolds()
+    void endGracePeriods()
     {
         for (Host& host : hosts_)
-            host.node_->catalog_.tick(TimePoint {} + hold_);
+            host.node_->catalog_.tick(TimePoint {} + gracePeriod_);
     }
 
     // Returns whether each host uses only engines that the store had at the host's version, and all of those that haven't changed
     // since.
-    bool holds() const
+    bool isConsistent() const
     {
         return std::all_of(hosts_.begin(), hosts_.end(), [this](const Host& host) {
             const EngineCatalog& catalog = host.node_->catalog_;
-            return !catalog.isKnown() || (usesNoneGone(*host.node_) && usesAllThatStayed(*host.node_));
+            return !catalog.isInitialized() || (usesNoRemovedEngine(*host.node_) && usesAllUnchanged(*host.node_));
         });
     }
 
 private:
     std::size_t pick(std::size_t size) { return std::uniform_int_distribution<std::size_t>(0, size - 1)(random_); }
-    std::string anyKey() { return "e" + std::to_string(pick(5)); }
+    std::string randomKey() { return "e" + std::to_string(pick(5)); }
 
-    bool usesNoneGone(const Node& node) const
+    bool usesNoRemovedEngine(const Node& node) const
     {
-        const Names there = namesOf(store_.stateAt(node.catalog_.version()));
-        return std::includes(there.begin(), there.end(), node.using_.begin(), node.using_.end());
+        const Names existing = namesOf(store_.stateAt(node.catalog_.version()));
+        return std::includes(existing.begin(), existing.end(), node.inUse_.begin(), node.inUse_.end());
     }
 
-    bool usesAllThatStayed(const Node& node) const
+    bool usesAllUnchanged(const Node& node) const
     {
-        State stayed = store_.latest();
-        std::erase_if(stayed, [&](const auto& entry) { return entry.second.version_.value() > node.catalog_.version(); });
-        const Names names = namesOf(stayed);
-        return std::includes(node.using_.begin(), node.using_.end(), names.begin(), names.end());
+        State unchanged = store_.latest();
+        std::erase_if(unchanged, [&](const auto& entry) { return entry.second.version_.value() > node.catalog_.version(); });
+        const Names names = namesOf(unchanged);
+        return std::includes(node.inUse_.begin(), node.inUse_.end(), names.begin(), names.end());
     }
 
     void callStore(Host& host)
     {
         if (host.isCalling())
             return;
-        host.answeredAt_ = store_.version();
-        host.lastPageAt_ = store_.version();
-        if (host.followedTo_ == 0 || pick(4) == 0)
-            host.listing_ = store_.page({});
+        host.answerVersion_ = store_.version();
+        host.lastPageVersion_ = store_.version();
+        if (host.followedVersion_ == 0 || pick(4) == 0)
+            host.pendingEntries_ = store_.page({});
         else
-            host.watching_ = store_.changesSince(host.followedTo_);
+            host.pendingChanges_ = store_.changesSince(host.followedVersion_);
     }
 
-    void answerStore(Host& host)
+    void applyStoreAnswer(Host& host)
     {
-        if (!host.isCalling() || readsPage(host))
+        if (!host.isCalling() || readNextPage(host))
             return;
-        if (host.listing_)
-            host.node_->catalog_.list(*host.listing_, { at(host.answeredAt_), at(host.lastPageAt_) }, {}, anyHold());
+        if (host.pendingEntries_)
+            host.node_->catalog_.list(*host.pendingEntries_, { at(host.answerVersion_), at(host.lastPageVersion_) }, {}, randomGracePeriod());
         else
-            host.node_->follow(*host.watching_, at(host.answeredAt_), {}, anyHold());
-        host.followedTo_ = host.answeredAt_;
-        host.listing_.reset();
-        host.watching_.reset();
+            host.node_->applyChanges(*host.pendingChanges_, at(host.answerVersion_), {}, randomGracePeriod());
+        host.followedVersion_ = host.answerVersion_;
+        host.pendingEntries_.reset();
+        host.pendingChanges_.reset();
     }
 
     // Reads the next page of a list; the store can change between pages. Returns false when the list is complete.
-    bool readsPage(Host& host) const
+    bool readNextPage(Host& host) const
     {
-        if (!host.listing_ || host.listing_->empty())
+        if (!host.pendingEntries_ || host.pendingEntries_->empty())
             return false;
-        host.lastPageAt_ = store_.version();
-        const std::vector<ObjectEntry> next = store_.page(host.listing_->back().key_ + "+");
-        host.listing_->insert(host.listing_->end(), next.begin(), next.end());
+        host.lastPageVersion_ = store_.version();
+        const std::vector<ObjectEntry> next = store_.page(host.pendingEntries_->back().key_ + "+");
+        host.pendingEntries_->insert(host.pendingEntries_->end(), next.begin(), next.end());
         return !next.empty();
     }
 
-    void askPeer(Host& host)
+    void requestFromPeer(Host& host)
     {
         const Host& peer = hosts_[pick(hosts_.size())];
         if (&peer != &host && !host.update_)
             host.update_ = peer.node_->catalog_.updateSince(host.node_->catalog_.version(), {});
     }
 
-    static void answerPeer(Host& host)
+    static void applyPeerAnswer(Host& host)
     {
         if (host.update_)
-            host.node_->catalog_.take(*host.update_, "peer", {});
+            host.node_->catalog_.applyUpdate(*host.update_, "peer", {});
         host.update_.reset();
     }
 
-    Duration anyHold() { return pick(3) == 0 ? hold_ : Duration::zero(); }
+    Duration randomGracePeriod() { return pick(3) == 0 ? gracePeriod_ : Duration::zero(); }
 
     std::mt19937_64 random_;
-    Duration hold_;
+    Duration gracePeriod_;
     Store store_;
     std::vector<Host> hosts_ = std::vector<Host>(4);
 };
@@ -224,15 +224,15 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" }, { "b", at(11), 5, "ready" } }, at(11));
     Node peer;
-    peer.ask(watcher, start);
-    REQUIRE(peer.using_ == Names { "a", "b" });
+    peer.requestUpdate(watcher, start);
+    REQUIRE(peer.inUse_ == Names { "a", "b" });
 
-    watcher.follow({ { ChangeKind::Remove, at(20), "a", {} }, { ChangeKind::Put, at(21), "c", "ready" } }, at(21));
+    watcher.applyChanges({ { ChangeKind::Remove, at(20), "a", {} }, { ChangeKind::Put, at(21), "c", "ready" } }, at(21));
     Node restarted;
-    restarted.ask(watcher, start);
-    peer.ask(restarted, start);
+    restarted.requestUpdate(watcher, start);
+    peer.requestUpdate(restarted, start);
     CHECK(peer.catalog_.version() == 21);
-    CHECK(peer.using_ == Names { "b", "c" });
+    CHECK(peer.inUse_ == Names { "b", "c" });
 }
 
 // Guards against requests to a removed engine from a host that requested its update from a watcher whose list didn't show the removal:
@@ -244,15 +244,15 @@
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10));
     Node other;
     other.list({ { "a", at(10), 5, "ready" } }, at(10));
-    other.follow({ { ChangeKind::Put, at(20), "b", "ready" } }, at(20));
+    other.applyChanges({ { ChangeKind::Put, at(20), "b", "ready" } }, at(20));
     Node peer;
-    peer.ask(other, start);
-    REQUIRE(peer.using_ == Names { "a", "b" });
+    peer.requestUpdate(other, start);
+    REQUIRE(peer.inUse_ == Names { "a", "b" });
 
     watcher.list({ { "a", at(10), 5, "ready" }, { "c", at(30), 5, "ready" } }, at(30));
-    peer.ask(watcher, start);
+    peer.requestUpdate(watcher, start);
     CHECK(peer.catalog_.version() == 30);
-    CHECK(peer.using_ == Names { "a", "c" });
+    CHECK(peer.inUse_ == Names { "a", "c" });
 }
 
 // Guards against requests to a removed engine when the watcher's list didn't show the removal, another host took its update from that
@@ -263,16 +263,16 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10));
     Node third;
-    third.ask(watcher, start);
+    third.requestUpdate(watcher, start);
     Node other;
     other.list({ { "a", at(10), 5, "ready" }, { "b", at(20), 5, "ready" } }, at(20));
     Node peer;
-    peer.ask(other, start);
+    peer.requestUpdate(other, start);
 
     watcher.list({ { "a", at(10), 5, "ready" }, { "c", at(30), 5, "ready" } }, at(30));
-    third.ask(watcher, start);
-    peer.ask(third, start);
-    CHECK(peer.using_ == Names { "a", "c" });
+    third.requestUpdate(watcher, start);
+    peer.requestUpdate(third, start);
+    CHECK(peer.inUse_ == Names { "a", "c" });
 }
 
 // Guards against requests to a removed engine from a host that advanced to a newer version before the answer to its update request
@@ -280,18 +280,18 @@
 TEST_CASE("an answer that is complete only for an older version is not applied")
 {
     const TimePoint start {};
-    Node asker;
-    asker.list({ { "a", at(10), 5, "ready" } }, at(10));
+    Node requester;
+    requester.list({ { "a", at(10), 5, "ready" } }, at(10));
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10));
     watcher.list({ { "a", at(10), 5, "ready" }, { "c", at(30), 5, "ready" } }, at(30));
-    const EngineUpdate answer = watcher.catalog_.updateSince(asker.catalog_.version(), start);
+    const EngineUpdate answer = watcher.catalog_.updateSince(requester.catalog_.version(), start);
 
-    asker.follow({ { ChangeKind::Put, at(20), "b", "ready" } }, at(20));
-    asker.catalog_.take(answer, "watcher", start);
-    CHECK(asker.catalog_.version() == 20);
-    asker.ask(watcher, start);
-    CHECK(asker.using_ == Names { "a", "c" });
+    requester.applyChanges({ { ChangeKind::Put, at(20), "b", "ready" } }, at(20));
+    requester.catalog_.applyUpdate(answer, "watcher", start);
+    CHECK(requester.catalog_.version() == 20);
+    requester.requestUpdate(watcher, start);
+    CHECK(requester.inUse_ == Names { "a", "c" });
 }
 
 // Guards against updates that carry every engine's entry to each peer that asks a recently started host.
@@ -313,11 +313,11 @@
     const TimePoint start {};
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" }, { "b", at(11), 5, "ready" } }, at(11));
-    watcher.follow({ { ChangeKind::Remove, at(20), "a", {} } }, at(20));
+    watcher.applyChanges({ { ChangeKind::Remove, at(20), "a", {} } }, at(20));
     Node node;
-    node.ask(watcher, start);
+    node.requestUpdate(watcher, start);
     node.list({ { "a", at(10), 5, "ready" }, { "b", at(11), 5, "ready" } }, at(15));
-    CHECK(node.using_ == Names { "b" });
+    CHECK(node.inUse_ == Names { "b" });
 }
 
 // Guards against requests to a removed engine from a host that read a list of several pages while engines were added and removed.
@@ -327,11 +327,11 @@
     Node watcher;
     watcher.catalog_.list({ { "a", at(10), 5, "ready" }, { "b", at(30), 5, "ready" } }, { at(20), at(30) }, start, {});
     Node peer;
-    peer.ask(watcher, start);
-    watcher.follow({ { ChangeKind::Remove, at(25), "a", {} }, { ChangeKind::Put, at(30), "b", "ready" } }, at(30));
-    peer.ask(watcher, start);
-    CHECK(watcher.using_ == Names { "b" });
-    CHECK(peer.using_ == Names { "b" });
+    peer.requestUpdate(watcher, start);
+    watcher.applyChanges({ { ChangeKind::Remove, at(25), "a", {} }, { ChangeKind::Put, at(30), "b", "ready" } }, at(30));
+    peer.requestUpdate(watcher, start);
+    CHECK(watcher.inUse_ == Names { "b" });
+    CHECK(peer.inUse_ == Names { "b" });
 }
 
 // Guards against requests to a removed engine from a host that requested its update from a host with a grace period after an
@@ -342,11 +342,11 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10));
     Node peer;
-    peer.ask(watcher, start);
+    peer.requestUpdate(watcher, start);
     peer.put("b", "ready", at(20));
     watcher.remove("b", at(21), start, grace);
-    peer.ask(watcher, start);
-    CHECK(peer.using_ == Names { "a" });
+    peer.requestUpdate(watcher, start);
+    CHECK(peer.inUse_ == Names { "a" });
 }
 
 // Guards against requests to an engine that registered again and was removed while the answering host still retained its older
@@ -357,16 +357,16 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" } }, at(10));
     Node other;
-    other.ask(watcher, start);
+    other.requestUpdate(watcher, start);
     other.put("a", "ready", at(30));
     Node peer;
-    peer.ask(other, start);
+    peer.requestUpdate(other, start);
 
     watcher.remove("a", at(20), start, grace);
     watcher.list({ { "b", at(40), 5, "ready" } }, at(40), start, grace);
-    peer.ask(watcher, start);
+    peer.requestUpdate(watcher, start);
     CHECK(peer.catalog_.version() == 40);
-    CHECK(peer.using_ == Names { "b" });
+    CHECK(peer.inUse_ == Names { "b" });
 }
 
 // Guards against a host that reports a version but uses an engine removed by then, or lacks an engine that still exists.
@@ -375,12 +375,12 @@
     constexpr std::uint64_t seeds = 3000;
     constexpr int steps = 300;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        Explored explored(seed, {});
+        HistorySimulation simulation(seed, {});
         for (int step = 0; step < steps; ++step) {
-            explored.step();
+            simulation.step();
             CAPTURE(seed);
             CAPTURE(step);
-            REQUIRE(explored.holds());
+            REQUIRE(simulation.isConsistent());
         }
     }
 }
@@ -393,14 +393,14 @@
     constexpr int rounds = 10;
     constexpr int stepsOfRound = 30;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        Explored explored(seed, grace);
+        HistorySimulation simulation(seed, grace);
         for (int round = 0; round < rounds; ++round) {
             for (int step = 0; step < stepsOfRound; ++step)
-                explored.step();
-            explored.endHolds();
+                simulation.step();
+            simulation.endGracePeriods();
             CAPTURE(seed);
             CAPTURE(round);
-            REQUIRE(explored.holds());
+            REQUIRE(simulation.isConsistent());
         }
     }
 }
--- a/libs/serving/tests/PeerLagTest.cpp
+++ b/libs/serving/tests/PeerLagTest.cpp
@@ -13,8 +13,8 @@
     CHECK(lag.mustAsk(5, true, start));
     CHECK_FALSE(lag.mustAsk(5, true, start));
     CHECK_FALSE(lag.mustAsk(6, true, start + 1ms));
-    CHECK_FALSE(lag.mustAskAgain(true, start + times.askEvery_ - 1ms));
-    CHECK(lag.mustAskAgain(true, start + times.askEvery_));
+    CHECK_FALSE(lag.mustAskAgain(true, start + times.minRequestInterval_ - 1ms));
+    CHECK(lag.mustAskAgain(true, start + times.minRequestInterval_));
     CHECK(lag.version() == 6);
 }
 
@@ -24,6 +24,6 @@
     const TimePoint start = TimePoint {} + 10s;
     PeerLag lag(times);
     CHECK_FALSE(lag.mustAsk(5, false, start));
-    CHECK_FALSE(lag.mustAskAgain(false, start + times.behindBound_ - 1ms));
-    CHECK(lag.mustAskAgain(false, start + times.behindBound_));
+    CHECK_FALSE(lag.mustAskAgain(false, start + times.maxLag_ - 1ms));
+    CHECK(lag.mustAskAgain(false, start + times.maxLag_));
 }
--- a/libs/serving/tests/WatchChoiceTest.cpp
+++ b/libs/serving/tests/WatchChoiceTest.cpp
@@ -26,9 +26,9 @@
     std::unique_ptr<WatchChoice> choice_;
     bool isUp_ = true;
     bool isLeaving_ = false;
-    bool watching_ = false;
+    bool isWatching_ = false;
     TimePoint watchingSince_ {};
-    std::uint32_t began_ = 0; // how often it started to watch
+    std::uint32_t watchStarts_ = 0; // how often it started to watch
     bool isServed_ = true; // by the store; if not, it tries but isn't reported as a watcher
 };
 
@@ -50,18 +50,18 @@
     {
         for (; now_ < end; now_ += step) {
             for (Member& member : members_)
-                turn(member);
+                tick(member);
         }
     }
-    std::uint32_t began() const
+    std::uint32_t watchStarts() const
     {
-        return std::accumulate(members_.begin(), members_.end(), 0U, [](std::uint32_t sum, const Member& member) { return sum + member.began_; });
+        return std::accumulate(members_.begin(), members_.end(), 0U, [](std::uint32_t sum, const Member& member) { return sum + member.watchStarts_; });
     }
     std::vector<Member*> watchers()
     {
         std::vector<Member*> found;
         for (Member& member : members_) {
-            if (member.isUp_ && member.watching_)
+            if (member.isUp_ && member.isWatching_)
                 found.push_back(&member);
         }
         return found;
@@ -71,30 +71,30 @@
     TimePoint now_ {};
 
 private:
-    void turn(Member& member)
+    void tick(Member& member)
     {
         if (!member.isUp_ || now_ < member.start_)
             return;
-        const bool isFollowing = member.isServed_ && member.watching_;
-        const bool mustWatch = member.choice_->mustWatch(known(member), member.isLeaving_, isFollowing, now_);
-        const bool watches = mustWatch && (member.watching_ || member.choice_->mayBegin(false, now_));
-        if (watches && !member.watching_) {
-            ++member.began_;
+        const bool isFollowing = member.isServed_ && member.isWatching_;
+        const bool shouldWatch = member.choice_->shouldWatch(discoveredPeers(member), member.isLeaving_, isFollowing, now_);
+        const bool watches = shouldWatch && (member.isWatching_ || member.choice_->canStart(false, now_));
+        if (watches && !member.isWatching_) {
+            ++member.watchStarts_;
             member.watchingSince_ = now_;
         }
-        member.watching_ = watches;
+        member.isWatching_ = watches;
     }
-    std::vector<WatchPeer> known(const Member& member) const
+    std::vector<WatchPeer> discoveredPeers(const Member& member) const
     {
         constexpr Duration reportDelay = 40ms; // from the store's first answer until peers have received the report
         std::vector<WatchPeer> found;
         for (const Member& other : members_) {
-            const Duration heardAfter = std::chrono::milliseconds(50 + mixHash(member.node_.value(), other.node_.value()) % 750);
-            const bool isMet = now_ >= std::max(member.start_, other.start_) + heardAfter;
-            if (&other == &member || !other.isUp_ || !isMet)
+            const Duration discoveredAfter = std::chrono::milliseconds(50 + mixHash(member.node_.value(), other.node_.value()) % 750);
+            const bool isDiscovered = now_ >= std::max(member.start_, other.start_) + discoveredAfter;
+            if (&other == &member || !other.isUp_ || !isDiscovered)
                 continue;
-            const bool isHeard = other.isServed_ && other.watching_ && now_ - other.watchingSince_ >= reportDelay;
-            found.push_back({ other.node_, !other.isLeaving_ && other.isNorth_ == member.isNorth_, isHeard });
+            const bool isReported = other.isServed_ && other.isWatching_ && now_ - other.watchingSince_ >= reportDelay;
+            found.push_back({ other.node_, !other.isLeaving_ && other.isNorth_ == member.isNorth_, isReported });
         }
         return found;
     }
@@ -108,11 +108,11 @@
 {
     StartingFleet fleet(84);
     fleet.runUntil(TimePoint() + 1s);
-    CHECK(fleet.began() <= 40);
+    CHECK(fleet.watchStarts() <= 40);
     CHECK(fleet.watchers().size() <= 4);
     CHECK_FALSE(fleet.watchers().empty());
     fleet.runUntil(TimePoint() + 4s);
-    CHECK(fleet.began() <= 44);
+    CHECK(fleet.watchStarts() <= 44);
     const auto watchers = fleet.watchers();
     CHECK(watchers.size() == 4);
     CHECK(std::count_if(watchers.begin(), watchers.end(), [](const Member* member) { return member->isNorth_; }) == 2);
@@ -123,7 +123,7 @@
 {
     StartingFleet fleet(300);
     fleet.runUntil(TimePoint() + 4s);
-    CHECK(fleet.began() <= 30);
+    CHECK(fleet.watchStarts() <= 30);
     CHECK(fleet.watchers().size() == 4);
 }
 
@@ -154,11 +154,11 @@
 {
     StartingFleet fleet(84);
     fleet.runUntil(TimePoint() + 4s);
-    const std::uint32_t before = fleet.began();
+    const std::uint32_t before = fleet.watchStarts();
     for (Member& member : fleet.members_)
         member.isServed_ = false;
     fleet.runUntil(fleet.now_ + 3s);
-    CHECK(fleet.began() - before <= 24);
+    CHECK(fleet.watchStarts() - before <= 24);
     for (Member& member : fleet.members_)
         member.isServed_ = true;
     fleet.runUntil(fleet.now_ + 500ms);
@@ -173,9 +173,9 @@
     fleet.runUntil(TimePoint() + 4s);
     for (Member* watcher : fleet.watchers())
         watcher->isServed_ = false;
-    std::size_t place = 0;
+    std::size_t memberNumber = 0;
     for (Member& member : fleet.members_)
-        member.isServed_ = member.isServed_ && ++place % 2 == 0;
+        member.isServed_ = member.isServed_ && ++memberNumber % 2 == 0;
     fleet.runUntil(fleet.now_ + 1s);
     CHECK(std::ranges::any_of(fleet.watchers(), [](const Member* member) { return member->isServed_; }));
 }
