--- a/libs/serving/src/Cells.cpp
+++ b/libs/serving/src/Cells.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-    constexpr std::uint64_t cellLabel = 0x63656c6c;
-    constexpr std::uint64_t delegateLabel = 0x64656c65;
+    constexpr std::uint64_t cellHashSeed = 0x63656c6c;
+    constexpr std::uint64_t delegateHashSeed = 0x64656c65;
 
-    std::uint64_t delegateRank(NodeId node) { return mixHash(delegateLabel, node.value()); }
+    std::uint64_t delegateWeight(NodeId node) { return mixHash(delegateHashSeed, node.value()); }
 
 } // namespace
 
@@ -44,31 +44,31 @@
 {
     Layout layout { {}, cells() };
     for (const auto& [id, region] : regions_)
-        layout.regions_[id] = { cuts_.at(id), region.domainIds() };
+        layout.regions_[id] = { splits_.at(id), region.domainIds() };
     return layout;
 }
 
-bool Cells::isFit(const RegionCut& cut, const Region& region)
+bool Cells::isWithinBounds(const RegionSplit& split, const Region& region)
 {
-    const bool isWhole = !cut.byDomain_ && cut.parts_ == 1;
+    const bool isWhole = !split.byDomain_ && split.parts_ == 1;
     if (isWhole)
-        return region.nodes_ <= mostNodes;
-    const std::size_t largest = cut.byDomain_ ? region.largest() : region.nodes_;
-    const std::size_t smallest = cut.byDomain_ ? region.smallest() : region.nodes_;
-    return largest <= mostNodes * cut.parts_ && smallest >= fewestNodes * cut.parts_;
+        return region.nodes_ <= maxNodes;
+    const std::size_t largest = split.byDomain_ ? region.largest() : region.nodes_;
+    const std::size_t smallest = split.byDomain_ ? region.smallest() : region.nodes_;
+    return largest <= maxNodes * split.parts_ && smallest >= minNodes * split.parts_;
 }
 
-RegionCut Cells::chooseCut(const Region& region)
+RegionSplit Cells::chooseSplit(const Region& region)
 {
-    if (region.nodes_ <= mostNodes)
+    if (region.nodes_ <= maxNodes)
         return {};
-    RegionCut byDomain { true, 1 };
-    while (region.largest() > mostNodes * byDomain.parts_)
+    RegionSplit byDomain { true, 1 };
+    while (region.largest() > maxNodes * byDomain.parts_)
         byDomain.parts_ *= 2;
-    if (region.smallest() >= fewestNodes * byDomain.parts_)
+    if (region.smallest() >= minNodes * byDomain.parts_)
         return byDomain;
-    RegionCut byHash { false, 1 };
-    while (region.nodes_ > mostNodes * byHash.parts_)
+    RegionSplit byHash { false, 1 };
+    while (region.nodes_ > maxNodes * byHash.parts_)
         byHash.parts_ *= 2;
     return byHash;
 }
@@ -83,9 +83,9 @@
         ++region.nodes_;
     }
     for (const auto& [id, region] : regions_) {
-        RegionCut& cut = cuts_[id];
-        if (!isFit(cut, region))
-            cut = chooseCut(region);
+        RegionSplit& split = splits_[id];
+        if (!isWithinBounds(split, region))
+            split = chooseSplit(region);
     }
     const auto before = std::exchange(cells_, {});
     cellOfNode_.clear();
@@ -96,7 +96,7 @@
         if (!member.isLive_)
             continue;
         cells_[cell].nodes_.push_back(member.node_);
-        if (!member.leaves_)
+        if (!member.isLeaving_)
             candidates[cell].push_back(member.node_);
     }
     for (auto& [id, cell] : cells_)
@@ -108,8 +108,8 @@
 void Cells::chooseDelegates(std::map<CellId, std::vector<NodeId>>& candidates)
 {
     for (auto& [cell, nodes] : candidates) {
-        std::sort(nodes.begin(), nodes.end(), [](NodeId left, NodeId right) { return delegateRank(left) > delegateRank(right); });
-        nodes.resize(std::min(nodes.size(), delegatesOfCell));
+        std::sort(nodes.begin(), nodes.end(), [](NodeId left, NodeId right) { return delegateWeight(left) > delegateWeight(right); });
+        nodes.resize(std::min(nodes.size(), delegatesPerCell));
         cells_[cell].delegates_ = std::move(nodes);
     }
 }
@@ -119,18 +119,18 @@
     const auto found = regions_.find(region);
     if (found == regions_.end())
         return CellId::none();
-    const auto cutOf = cuts_.find(region);
-    const RegionCut cut = cutOf == cuts_.end() ? RegionCut() : cutOf->second;
-    const std::uint64_t hash = mixHash(cellLabel, member);
-    std::uint64_t place = region.value();
-    if (cut.byDomain_) {
+    const auto splitOf = splits_.find(region);
+    const RegionSplit split = splitOf == splits_.end() ? RegionSplit() : splitOf->second;
+    const std::uint64_t hash = mixHash(cellHashSeed, member);
+    std::uint64_t scopeHash = region.value();
+    if (split.byDomain_) {
         const auto& domains = found->second.domains_;
         // An engine in a domain without nodes is assigned to the cell of another domain, chosen by its hash.
         const bool hasNodes = domains.contains(domain);
-        const FailureDomainId home = hasNodes ? domain : std::next(domains.begin(), static_cast<std::ptrdiff_t>(hash % domains.size()))->first;
-        place = mixHash(place, home.value());
+        const FailureDomainId effectiveDomain = hasNodes ? domain : std::next(domains.begin(), static_cast<std::ptrdiff_t>(hash % domains.size()))->first;
+        scopeHash = mixHash(scopeHash, effectiveDomain.value());
     }
-    return CellId(static_cast<CellId::Value>(mixHash(place, (hash & (cut.parts_ - 1)) + 1)));
+    return CellId(static_cast<CellId::Value>(mixHash(scopeHash, (hash & (split.parts_ - 1)) + 1)));
 }
 
 CellId Cells::cellOf(NodeId node) const
@@ -141,16 +141,16 @@
 
 const std::vector<NodeId>& Cells::delegates(CellId cell) const
 {
-    static const std::vector<NodeId> nobody;
+    static const std::vector<NodeId> noNodes;
     const auto found = cells_.find(cell);
-    return found == cells_.end() ? nobody : found->second.delegates_;
+    return found == cells_.end() ? noNodes : found->second.delegates_;
 }
 
 const std::vector<NodeId>& Cells::nodesOf(CellId cell) const
 {
-    static const std::vector<NodeId> nobody;
+    static const std::vector<NodeId> noNodes;
     const auto found = cells_.find(cell);
-    return found == cells_.end() ? nobody : found->second.nodes_;
+    return found == cells_.end() ? noNodes : found->second.nodes_;
 }
 
 std::vector<CellId> Cells::cells() const
--- a/libs/serving/src/Cells.h
+++ b/libs/serving/src/Cells.h
@@ -6,10 +6,10 @@
 //     cells.cellOf(engine.region_, engine.domain_, engine.id_.value());
 //     cells.delegates(cell);                                 // at most two live nodes of the cell
 //
-// A region of up to mostNodes nodes is one cell. A larger region is split by failure domain, so that the hosts and engines of a cell are
+// A region of up to maxNodes nodes is one cell. A larger region is split by failure domain, so that the hosts and engines of a cell are
 // in the same domain. Failure domains that are too large are split further into halves by a hash of the node or engine id. If the cells
-// of the smallest failure domain would then have fewer than fewestNodes nodes, the region is split by that hash alone. A split is kept
-// until it violates these bounds, so a region that has shrunk below mostNodes nodes may still consist of several cells. The bounds limit
+// of the smallest failure domain would then have fewer than minNodes nodes, the region is split by that hash alone. A split is kept
+// until it violates these bounds, so a region that has shrunk below maxNodes nodes may still consist of several cells. The bounds limit
 // the number of nodes that a node reports to, whatever the size of the fleet.
 //
 // Every node computes the cells from its own view of the membership. While the views of two nodes differ, the load of a node may be
@@ -31,26 +31,26 @@
     RegionId region_;
     FailureDomainId domain_;
     bool isLive_ = false;
-    bool leaves_ = false; // not eligible as a delegate
+    bool isLeaving_ = false; // not eligible as a delegate
 };
 
 // Describes how a region is split: either the whole region or each of its failure domains is divided into parts_ cells.
-struct RegionCut {
+struct RegionSplit {
     bool byDomain_ = false;
     std::uint32_t parts_ = 1; // a power of two
 
-    friend bool operator==(const RegionCut&, const RegionCut&) = default;
+    friend bool operator==(const RegionSplit&, const RegionSplit&) = default;
 };
 
 class Cells {
 public:
     // Maximum number of nodes in a cell. Cells that are divided by the hash comply with both bounds on average only.
-    static constexpr std::size_t mostNodes = 56;
+    static constexpr std::size_t maxNodes = 56;
     // Minimum number of nodes in a cell of a split region. Below it the region is split anew, so that the cell is merged with others. The
-    // distance between fewestNodes and mostNodes keeps the split stable while single nodes join or leave.
-    static constexpr std::size_t fewestNodes = 16;
+    // distance between minNodes and maxNodes keeps the split stable while single nodes join or leave.
+    static constexpr std::size_t minNodes = 16;
     // The second delegate covers the time in which the first one is stopped, paused or partitioned and this hasn't been detected yet.
-    static constexpr std::size_t delegatesOfCell = 2;
+    static constexpr std::size_t delegatesPerCell = 2;
 
     struct Change {
         bool nodes_ = false; // the live nodes or the delegates of a cell have changed
@@ -63,7 +63,7 @@
     // Returns the cell of a node or engine with the id `member`; none if no node of the region is known.
     CellId cellOf(RegionId region, FailureDomainId domain, std::uint64_t member) const;
     CellId cellOf(NodeId node) const;
-    // Returns the delegates of a cell by rank: at most delegatesOfCell live nodes that aren't leaving.
+    // Returns the delegates of a cell by rank: at most delegatesPerCell live nodes that aren't leaving.
     const std::vector<NodeId>& delegates(CellId cell) const;
     // Returns the live nodes of a cell, ordered by id.
     const std::vector<NodeId>& nodesOf(CellId cell) const;
@@ -89,19 +89,19 @@
 
     // Everything that determines the cell of a node or an engine, and the cells that have live nodes.
     struct Layout {
-        std::map<RegionId, std::pair<RegionCut, std::vector<FailureDomainId>>> regions_;
+        std::map<RegionId, std::pair<RegionSplit, std::vector<FailureDomainId>>> regions_;
         std::vector<CellId> cells_;
 
         friend bool operator==(const Layout&, const Layout&) = default;
     };
 
     Layout layout() const;
-    static bool isFit(const RegionCut& cut, const Region& region);
-    static RegionCut chooseCut(const Region& region);
+    static bool isWithinBounds(const RegionSplit& split, const Region& region);
+    static RegionSplit chooseSplit(const Region& region);
     void chooseDelegates(std::map<CellId, std::vector<NodeId>>& candidates);
 
     std::map<RegionId, Region> regions_;
-    std::map<RegionId, RegionCut> cuts_;
+    std::map<RegionId, RegionSplit> splits_;
     std::map<CellId, Cell> cells_;
     std::map<NodeId, CellId> cellOfNode_;
 };
--- a/libs/serving/src/ConfigFollower.cpp
+++ b/libs/serving/src/ConfigFollower.cpp
@@ -21,13 +21,13 @@
         read();
     else if (!isCallInFlight_ && now >= nextCallAt_ && !isPassive_)
         watch();
-    if (lag_.version() > version() && lag_.mustAskAgain(isPassive_, now))
+    if (lag_.version() > version() && lag_.mustRequest(isPassive_, now))
         requestFromPeer_();
 }
 
 void ConfigFollower::onPeerVersion(std::uint64_t peerVersion, TimePoint now)
 {
-    if (peerVersion > version() && lag_.mustAsk(peerVersion, isPassive_, now))
+    if (peerVersion > version() && lag_.recordPeerVersion(peerVersion, isPassive_, now))
         requestFromPeer_();
 }
 
--- a/libs/serving/src/EngineCatalog.cpp
+++ b/libs/serving/src/EngineCatalog.cpp
@@ -188,17 +188,17 @@
     if (!isInitialized_)
         return update;
     update.version_ = appliedVersion_;
-    update.isWhole_ = !removals_.isCompleteSince(since);
+    update.isFullState_ = !removals_.isCompleteSince(since);
     update.gaps_ = removals_.gapsSince(since);
     for (const auto& [key, known] : engines_) {
         if (known.version_.value() <= since)
             update.unchanged_.push_back(key);
         else
             update.entries_.push_back({ key, known.version_, known.value_.size(), known.value_ });
-        if (known.isMissing() && (update.isWhole_ || known.removalVersion_.value() > since))
+        if (known.isMissing() && (update.isFullState_ || known.removalVersion_.value() > since))
             update.missing_.push_back({ key, known.removalVersion_, std::max(Duration::zero(), known.removeAt_ - now) });
     }
-    if (update.isWhole_)
+    if (update.isFullState_)
         return update;
     update.unchanged_.clear();
     update.removed_ = removals_.keysSince(since);
@@ -210,7 +210,7 @@
 // for the version in its request, and this node may since have advanced to a version inside a gap of the update.
 bool EngineCatalog::isCompleteFrom(std::uint64_t version, const EngineUpdate& update)
 {
-    return update.isWhole_ || std::none_of(update.gaps_.begin(), update.gaps_.end(), [version](const VersionGap& gap) { return gap.contains(version); });
+    return update.isFullState_ || std::none_of(update.gaps_.begin(), update.gaps_.end(), [version](const VersionGap& gap) { return gap.contains(version); });
 }
 
 void EngineCatalog::applyUpdate(const EngineUpdate& update, std::string_view peer, TimePoint now)
@@ -227,7 +227,7 @@
         put(entry.key_, entry.value_, entry.version_);
     for (const std::string& key : update.removed_)
         remove(key, ObjectVersion(update.version_), "goneByPeer");
-    if (update.isWhole_) {
+    if (update.isFullState_) {
         removeUnlisted(update);
         removals_.addGap({ before, update.version_ });
     }
@@ -235,7 +235,7 @@
         removals_.addGap(gap);
     applyMissing(update, now);
     isInitialized_ = true;
-    log_.line("enginesByPeer").with("peer", peer).with("whole", update.isWhole_ ? "yes" : "no").with("before", before).with("version", appliedVersion_).with("changed", update.entries_.size()).with("removed", update.removed_.size()).with("missing", update.missing_.size());
+    log_.line("enginesByPeer").with("peer", peer).with("whole", update.isFullState_ ? "yes" : "no").with("before", before).with("version", appliedVersion_).with("changed", update.entries_.size()).with("removed", update.removed_.size()).with("missing", update.missing_.size());
 }
 
 void EngineCatalog::removeUnlisted(const EngineUpdate& whole)
@@ -252,8 +252,8 @@
     for (const MissingEngine& missing : update.missing_) {
         const bool hasNewerEntry = isOlder(missing.key_, missing.version_);
         if (!hasNewerEntry)
-            markMissing(missing.key_, missing.version_, now + missing.goneIn_);
-        else if (update.isWhole_)
+            markMissing(missing.key_, missing.version_, now + missing.timeToRemoval_);
+        else if (update.isFullState_)
             remove(missing.key_, ObjectVersion(update.version_), "goneByPeer"); // the whole update lacks this node's newer entry
     }
 }
--- a/libs/serving/src/EngineFeed.h
+++ b/libs/serving/src/EngineFeed.h
@@ -92,7 +92,7 @@
     // at once, and a watcher calls the store again after FollowerTimes::maxLag_.
     void onPeerVersion(std::uint64_t version, TimePoint now)
     {
-        if (!catalog_.tryAdvanceTo(version) && lag_.mustAsk(version, isPassive_, now))
+        if (!catalog_.tryAdvanceTo(version) && lag_.recordPeerVersion(version, isPassive_, now))
             requestFromPeer_();
     }
 
@@ -102,7 +102,7 @@
 private:
     void requestMissingChanges(TimePoint now)
     {
-        if (catalog_.tryAdvanceTo(lag_.version()) || !lag_.mustAskAgain(isPassive_, now))
+        if (catalog_.tryAdvanceTo(lag_.version()) || !lag_.mustRequest(isPassive_, now))
             return;
         if (isPassive_)
             return requestFromPeer_();
--- a/libs/serving/src/Fleet.cpp
+++ b/libs/serving/src/Fleet.cpp
@@ -16,15 +16,15 @@
     using Udp = boost::asio::ip::udp;
 
     // Shorter than the shortest period of the membership core, which is 60 ms, so that none of its periods is missed.
-    constexpr Duration membershipTick = 45ms;
-    // Maximum number of membership changes that are logged individually in each changeLinesPeriod. The rest is counted, and a single line
+    constexpr Duration membershipTickPeriod = 45ms;
+    // Maximum number of membership changes that are logged individually in each changeLogPeriod. The rest is counted, and a single line
     // reports the counts at the end of the period.
-    constexpr std::uint32_t mostChangeLines = 20;
-    constexpr Duration changeLinesPeriod = 1s;
-    constexpr std::size_t callBytes = 16 * 1024 * 1024;
+    constexpr std::uint32_t maxLoggedChanges = 20;
+    constexpr Duration changeLogPeriod = 1s;
+    constexpr std::size_t maxCallBytes = 16 * 1024 * 1024;
     constexpr std::string_view callPath = "/peer";
 
-    Udp::endpoint nativeOf(const PeerAddress& address) { return { boost::asio::ip::address_v4(address.ip_), address.port_ }; }
+    Udp::endpoint toUdpEndpoint(const PeerAddress& address) { return { boost::asio::ip::address_v4(address.ip_), address.port_ }; }
 
     PeerAddress nextPort(PeerAddress address)
     {
@@ -32,7 +32,7 @@
         return address;
     }
 
-    Endpoint endpointOf(const PeerAddress& address) { return parseEndpoint(address.toString()).value(); }
+    Endpoint toEndpoint(const PeerAddress& address) { return parseEndpoint(address.toString()).value(); }
 
     std::string_view nameOf(MemberState state)
     {
@@ -41,9 +41,9 @@
     }
 
     // A UDP socket that calls the handler for each received datagram.
-    class Datagrams {
+    class UdpSocket {
     public:
-        Datagrams(boost::asio::io_context& io, std::function<void(std::string_view)> handler)
+        UdpSocket(boost::asio::io_context& io, std::function<void(std::string_view)> handler)
             : socket_(io)
             , handler_(std::move(handler))
         {
@@ -54,7 +54,7 @@
             boost::system::error_code error;
             socket_.open(Udp::v4(), error);
             if (!error)
-                socket_.bind(nativeOf(address), error);
+                socket_.bind(toUdpEndpoint(address), error);
             if (!error)
                 socket_.non_blocking(true, error);
             if (error)
@@ -67,7 +67,7 @@
         void send(const PeerAddress& to, std::string_view bytes)
         {
             boost::system::error_code ignored;
-            socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), nativeOf(to), 0, ignored);
+            socket_.send_to(boost::asio::buffer(bytes.data(), bytes.size()), toUdpEndpoint(to), 0, ignored);
         }
 
     private:
@@ -85,7 +85,7 @@
 
         Udp::socket socket_;
         std::function<void(std::string_view)> handler_;
-        std::array<char, mostDatagramBytes> buffer_ {};
+        std::array<char, maxPeerDatagramBytes> buffer_ {};
         Udp::endpoint from_;
     };
 
@@ -96,12 +96,12 @@
         : membership_(io, [&fleet](std::string_view bytes) { fleet.onMembershipDatagram(bytes); })
         , reports_(io, [&fleet](std::string_view bytes) { fleet.onReportDatagram(bytes); })
         , codec_(fleet.options_.key_, fleet.self_)
-        , client_(io, { .connectTime_ = 300ms, .pooledIdle_ = 20s, .pooledPerEndpoint_ = 8, .headerBytes_ = 4096, .bodyBytes_ = callBytes })
+        , client_(io, { .connectTime_ = 300ms, .pooledIdle_ = 20s, .pooledPerEndpoint_ = 8, .headerBytes_ = 4096, .bodyBytes_ = maxCallBytes })
     {
     }
 
-    Datagrams membership_;
-    Datagrams reports_;
+    UdpSocket membership_;
+    UdpSocket reports_;
     DatagramCodec codec_;
     http::Client client_;
     std::unique_ptr<http::Server> server_;
@@ -132,12 +132,12 @@
 Result<void> Fleet::open()
 {
     sockets_ = std::make_unique<Sockets>(io_, *this);
-    openExchange();
+    createExchange();
     if (!sockets_->membership_.open(options_.at_) || !sockets_->reports_.open(nextPort(options_.at_)))
         return BaseError::Closed;
     http::ServerSettings server;
-    server.listen_ = endpointOf(options_.at_);
-    server.limits_.bodyBytes_ = callBytes;
+    server.listen_ = toEndpoint(options_.at_);
+    server.limits_.bodyBytes_ = maxCallBytes;
     server.limits_.idle_ = 60s;
     const auto onCall = [this](const std::shared_ptr<http::Exchange>& exchange) {
         auto call = decodeCall(options_.key_, exchange->request().body_);
@@ -165,11 +165,11 @@
 void Fleet::tick(TimePoint now, WallTime wall)
 {
     now_ = now;
-    if (now - tickedAt_ >= membershipTick) {
+    if (now - tickedAt_ >= membershipTickPeriod) {
         tickedAt_ = now;
         core_->tick(now, wall);
         runCommands();
-        logManyChanges();
+        logChangeCounts();
     }
     exchange_->tick(now);
 }
@@ -206,9 +206,9 @@
     const MemberRumor& member = command.member_;
     const PeerTable::Change change = peers_.apply(member, now_);
     logChange(member);
-    if (change.hasGone_)
-        handlers_.onGone_(member.node_);
-    if (change.hasCome_)
+    if (change.wentDown_)
+        handlers_.onNodeDown_(member.node_);
+    if (change.cameUp_)
         publishReport();
 }
 
@@ -216,26 +216,26 @@
 // which used up the budget of DecisionLog, so that lines about decisions were dropped.
 void Fleet::logChange(const MemberRumor& member)
 {
-    if (changes_++ < mostChangeLines) {
+    if (changes_++ < maxLoggedChanges) {
         log_.line("peerChanged").with("peer", member.endpoint_.toString()).with("state", nameOf(member.state_)).with("leaving", member.leaving_ ? "yes" : "no").with("incarnation", member.incarnation_.value());
         return;
     }
-    ++unlogged_[static_cast<std::size_t>(member.state_)];
+    ++unloggedChanges_[static_cast<std::size_t>(member.state_)];
 }
 
-void Fleet::logManyChanges()
+void Fleet::logChangeCounts()
 {
-    if (now_ - changesSince_ < changeLinesPeriod)
+    if (now_ - changesSince_ < changeLogPeriod)
         return;
     changesSince_ = now_;
-    if (changes_ > mostChangeLines) {
+    if (changes_ > maxLoggedChanges) {
         auto line = log_.line("peersChanged");
         for (const MemberState state : { MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left })
-            line.with(nameOf(state), unlogged_[static_cast<std::size_t>(state)]);
+            line.with(nameOf(state), unloggedChanges_[static_cast<std::size_t>(state)]);
         line.with("peers", livePeers());
     }
     changes_ = 0;
-    unlogged_ = {};
+    unloggedChanges_ = {};
 }
 
 void Fleet::perform(const Rejoined& command)
@@ -262,7 +262,7 @@
 
 // ---- reports
 
-void Fleet::openExchange()
+void Fleet::createExchange()
 {
     ExchangeOutlets outlets;
     outlets.ownReport_ = handlers_.ownReport_;
@@ -271,7 +271,7 @@
     outlets.onReport_ = handlers_.onReport_;
     outlets.onCell_ = handlers_.onCell_;
     outlets.onCellsChanged_ = [this] {
-        log_.line("cellsChanged").with("cells", cells().cells().size()).with("nodes", mates().size());
+        log_.line("cellsChanged").with("cells", cells().cells().size()).with("nodes", cellNodes().size());
         handlers_.onCellsChanged_();
     };
     outlets.send_ = [this](std::span<const PeerAddress> receivers, const PeerDatagram& datagram) {
@@ -286,27 +286,27 @@
 void Fleet::publishReport()
 {
     exchange_->publish();
-    if (reportPosted_)
+    if (isSendPosted_)
         return;
-    reportPosted_ = true;
+    isSendPosted_ = true;
     boost::asio::post(io_, [this, alive = alive_] {
         if (!*alive)
             return;
-        reportPosted_ = false;
+        isSendPosted_ = false;
         exchange_->sendPending(SystemClock().now());
     });
 }
 
-void Fleet::giveWay(NodeId holder, UpstreamId engine)
+void Fleet::requestPreemption(NodeId holder, UpstreamId engine)
 {
     if (const Peer* peer = peers_.find(holder))
-        sockets_->reports_.send(nextPort(peer->at_), encode(options_.key_, GiveWay { self_, engine, false }));
+        sockets_->reports_.send(nextPort(peer->at_), encode(options_.key_, PreemptRequest { self_, engine, false }));
 }
 
-void Fleet::passOnGiveWay(const GiveWay& ask, NodeId holder)
+void Fleet::forwardPreemptRequest(const PreemptRequest& request, NodeId holder)
 {
     if (const Peer* peer = peers_.find(holder))
-        sockets_->reports_.send(nextPort(peer->at_), encode(options_.key_, GiveWay { ask.from_, ask.engine_, true }));
+        sockets_->reports_.send(nextPort(peer->at_), encode(options_.key_, PreemptRequest { request.from_, request.engine_, true }));
 }
 
 void Fleet::onReportDatagram(std::string_view bytes)
@@ -314,17 +314,17 @@
     const auto datagram = decodeDatagram(options_.key_, bytes);
     if (!datagram)
         return;
-    if (const auto* ask = std::get_if<GiveWay>(&datagram.value()))
-        return handlers_.onGiveWay_(*ask);
+    if (const auto* request = std::get_if<PreemptRequest>(&datagram.value()))
+        return handlers_.onPreemptRequest_(*request);
     const TimePoint now = SystemClock().now();
     if (const auto* digest = std::get_if<CellDigest>(&datagram.value()))
-        return exchange_->received(*digest, now);
-    exchange_->received(std::get<NodeReport>(datagram.value()), now);
+        return exchange_->handle(*digest, now);
+    exchange_->handle(std::get<NodeReport>(datagram.value()), now);
 }
 
 // ---- calls
 
-void Fleet::ask(NodeId node, const PeerCall& call, Duration bound, ReplyHandler done)
+void Fleet::request(NodeId node, const PeerCall& call, Duration timeout, ReplyHandler done)
 {
     const Peer* peer = peers_.find(node);
     if (!peer) {
@@ -332,8 +332,8 @@
         return;
     }
     http::CallOptions options;
-    options.idle_ = bound;
-    const Endpoint to = endpointOf(peer->at_);
+    options.idle_ = timeout;
+    const Endpoint to = toEndpoint(peer->at_);
     http::Request request { "POST", std::string(callPath), {}, encode(options_.key_, call) };
     sockets_->client_.fetch(to, request, options, [this, alive = alive_, to, done = std::move(done)](const Result<http::Response>& response, RunState) {
         if (!*alive)
--- a/libs/serving/src/Fleet.h
+++ b/libs/serving/src/Fleet.h
@@ -38,11 +38,11 @@
     std::function<NodeReport()> ownReport_;
     std::function<KnownVersions()> ownVersions_;
     std::function<CellUse()> ownCell_;
-    std::function<void(const NodeReport&, bool isMate)> onReport_;
+    std::function<void(const NodeReport&, bool isSameCell)> onReport_;
     std::function<void(const CellSummary&, TimePoint at)> onCell_;
-    std::function<void(const GiveWay&)> onGiveWay_;
+    std::function<void(const PreemptRequest&)> onPreemptRequest_;
     // The node was live and has been declared dead or has left.
-    std::function<void(NodeId)> onGone_;
+    std::function<void(NodeId)> onNodeDown_;
     // Another node has published a mark of request content that crashes engines, see CrashSuspects.h.
     std::function<void(Fingerprint mark, Duration remaining)> onCrashMark_;
     // The assignment of nodes and engines to cells has changed.
@@ -63,13 +63,13 @@
     // Schedules the sending of this node's changed report: in the next iteration of the event loop, or later if ReportPace requires it.
     void publishReport();
     // Requests that a batch item on the engine is preempted. `holder` runs such an item, or is a delegate of a cell that does.
-    void giveWay(NodeId holder, UpstreamId engine);
+    void requestPreemption(NodeId holder, UpstreamId engine);
     // Forwards a preemption request, which this node received as a delegate, to the node of its cell that runs the item.
-    void passOnGiveWay(const GiveWay& ask, NodeId holder);
+    void forwardPreemptRequest(const PreemptRequest& request, NodeId holder);
     using ReplyHandler = std::function<void(Result<PeerReply>)>;
     // Calls a peer. Completes with PeerError::Unreachable if the peer is unknown, refuses the connection, sends nothing for `timeout` or
     // replies with an HTTP error status, and with an error of decodeReply() if it can't decode the reply.
-    void ask(NodeId node, const PeerCall& call, Duration bound, ReplyHandler done);
+    void request(NodeId node, const PeerCall& call, Duration timeout, ReplyHandler done);
 
     // Distributes a mark of request content that crashes engines to all nodes.
     void publishCrashMark(Fingerprint mark, Duration remaining);
@@ -87,7 +87,7 @@
     std::vector<CellSummary> summaries(TimePoint now) const { return exchange_->summaries(now); }
     CellId ownCell() const { return exchange_->ownCell(); }
     // Returns the live nodes of this node's cell, including this node.
-    const std::vector<NodeId>& mates() const { return exchange_->mates(); }
+    const std::vector<NodeId>& cellNodes() const { return exchange_->cellNodes(); }
     // Returns whether a node is live. A node whose report arrived recently counts as live whatever the result of membership probes. An
     // unknown node counts as live while this process has just started, since membership may not have discovered it yet.
     bool isLive(NodeId node) const;
@@ -96,7 +96,7 @@
     const Peer* peer(NodeId node) const { return peers_.find(node); }
     // Returns whether this process is still fetching the list of members.
     bool isJoining() const { return core_->isJoining(); }
-    std::size_t livePeers() const { return peers_.liveNear() + peers_.liveFar(); }
+    std::size_t livePeers() const { return peers_.liveInRegion() + peers_.liveElsewhere(); }
     // Returns the address of a node for logs and operators; empty for an unknown node.
     std::string addressOf(NodeId node) const;
     // Returns the address of this node.
@@ -109,9 +109,9 @@
     std::vector<WatchPeer> watchPeers() const;
     // Chooses the hosts that spool a job on their disks, as many as `losses` requires and none of `excluded`. Returns an empty list if too
     // few hosts are available.
-    std::vector<NodeId> keepersOf(const TolerableLosses& losses, const std::vector<NodeId>& without);
+    std::vector<NodeId> selectSpoolHosts(const TolerableLosses& losses, const std::vector<NodeId>& excluded);
     // Returns whether the last report of a peer listed spooled jobs and isn't older than a minute.
-    bool anyKeepsJobs() const;
+    bool hasPeerWithSpooledJobs() const;
     // Returns whether the reports of a peer that runs jobs have stopped recently. That peer may have lost the reports of this node as
     // well, and may take over its jobs.
     bool mayBeReplaced() const;
@@ -128,14 +128,14 @@
     void perform(const SendDatagram& command);
     void perform(const MemberChanged& command);
     void logChange(const MemberRumor& member);
-    void logManyChanges();
+    void logChangeCounts();
     void perform(const Rejoined& command);
     void perform(const ConfigVersionLearned&) { }
     void perform(const LoadLearned&) { }
     void perform(const QuarantineLearned& command);
     void perform(const UpstreamMarkLearned&) { }
     void perform(const RegionReachChanged& command);
-    void openExchange();
+    void createExchange();
 
     boost::asio::io_context& io_;
     FleetOptions options_;
@@ -146,12 +146,12 @@
     std::unique_ptr<MembershipCore> core_;
     PeerTable peers_;
     std::unique_ptr<ReportExchange> exchange_;
-    std::uint64_t keeperTurn_ = 0; // varies the choice, so that spooled jobs are spread over the hosts
-    bool reportPosted_ = false;
-    // Membership changes since changesSince_. The first ones are logged one by one; unlogged_ counts the rest by state.
+    std::uint64_t spoolSelections_ = 0; // varies the choice, so that spooled jobs are spread over the hosts
+    bool isSendPosted_ = false;
+    // Membership changes since changesSince_. The first ones are logged one by one; unloggedChanges_ counts the rest by state.
     TimePoint changesSince_ {};
     std::uint32_t changes_ = 0;
-    std::array<std::uint32_t, 4> unlogged_ {};
+    std::array<std::uint32_t, 4> unloggedChanges_ {};
     TimePoint tickedAt_ {};
     TimePoint startedAt_ {};
     TimePoint now_ {};
--- a/libs/serving/src/FleetPeers.cpp
+++ b/libs/serving/src/FleetPeers.cpp
@@ -11,12 +11,12 @@
 namespace {
 
     // Time after the start by which membership has discovered all live nodes. Until then an unknown node counts as live.
-    constexpr Duration settleTime = 4s;
+    constexpr Duration discoveryTime = 4s;
     // A report received within this time outweighs a failed membership probe.
-    constexpr Duration freshReport = 1200ms;
+    constexpr Duration freshReportAge = 1200ms;
     // Spooled jobs of a host that has been silent for longer are ignored. By then the other hosts with copies have written them to the
     // store; the silent host submits its copies when it restarts.
-    constexpr Duration keptJobsRemembered = 60s;
+    constexpr Duration spooledJobsRetention = 60s;
 
 } // namespace
 
@@ -26,8 +26,8 @@
         return true;
     const Peer* peer = peers_.find(node);
     if (!peer)
-        return now_ - startedAt_ < settleTime;
-    return peer->isLive() || now_ - peer->heardAt_ < freshReport;
+        return now_ - startedAt_ < discoveryTime;
+    return peer->isLive() || now_ - peer->lastSeenAt_ < freshReportAge;
 }
 
 std::string Fleet::addressOf(NodeId node) const
@@ -74,34 +74,34 @@
     found.reserve(peers_.rows().size());
     for (const Peer& peer : peers_.rows()) {
         const bool mayWatch = peer.isLive() && !peer.leaving_ && peer.region_ == options_.region_;
-        found.push_back({ peer.node_, mayWatch, peer.watching_ && now_ - peer.heardAt_ < freshReport });
+        found.push_back({ peer.node_, mayWatch, peer.watching_ && now_ - peer.lastSeenAt_ < freshReportAge });
     }
     return found;
 }
 
-std::vector<NodeId> Fleet::keepersOf(const TolerableLosses& losses, const std::vector<NodeId>& without)
+std::vector<NodeId> Fleet::selectSpoolHosts(const TolerableLosses& losses, const std::vector<NodeId>& excluded)
 {
     std::vector<KeeperCandidate> candidates;
     for (const Peer& peer : peers_.rows()) {
-        const bool isHeard = now_ - peer.heardAt_ < freshReport;
-        const bool isOut = std::find(without.begin(), without.end(), peer.node_) != without.end();
-        if (peer.isLive() && isHeard && !peer.leaving_ && peer.keepsJobs_ && !isOut)
+        const bool isReportFresh = now_ - peer.lastSeenAt_ < freshReportAge;
+        const bool isExcluded = std::find(excluded.begin(), excluded.end(), peer.node_) != excluded.end();
+        if (peer.isLive() && isReportFresh && !peer.leaving_ && peer.spoolsJobs_ && !isExcluded)
             candidates.push_back({ peer.node_, peer.domain_, peer.region_, peer.region_ == options_.region_ });
     }
-    return chooseKeepers(std::move(candidates), losses, mixHash(self_.value(), ++keeperTurn_));
+    return chooseKeepers(std::move(candidates), losses, mixHash(self_.value(), ++spoolSelections_));
 }
 
-bool Fleet::anyKeepsJobs() const
+bool Fleet::hasPeerWithSpooledJobs() const
 {
     const auto& rows = peers_.rows();
-    return std::any_of(rows.begin(), rows.end(), [this](const Peer& peer) { return peer.keptJobs_ > 0 && now_ - peer.heardAt_ < keptJobsRemembered; });
+    return std::any_of(rows.begin(), rows.end(), [this](const Peer& peer) { return peer.spooledJobs_ > 0 && now_ - peer.lastSeenAt_ < spooledJobsRetention; });
 }
 
 bool Fleet::mayBeReplaced() const
 {
     const auto& rows = peers_.rows();
     return std::any_of(rows.begin(), rows.end(), [this](const Peer& peer) {
-        return peer.runsJobs_ && peer.state_ != MemberState::Left && now_ - peer.heardAt_ > freshReport && now_ - peer.heardAt_ < 60s;
+        return peer.runsJobs_ && peer.state_ != MemberState::Left && now_ - peer.lastSeenAt_ > freshReportAge && now_ - peer.lastSeenAt_ < 60s;
     });
 }
 
--- a/libs/serving/src/JobFront.cpp
+++ b/libs/serving/src/JobFront.cpp
@@ -30,10 +30,10 @@
     PeerCall peerCallOf(const JobRequest& call, Duration wait)
     {
         if (const auto* read = std::get_if<JobReadRequest>(&call))
-            return ReadAsk { read->job_, read->after_, static_cast<std::uint32_t>(wait / 1ms) };
+            return ReadRequest { read->job_, read->after_, static_cast<std::uint32_t>(wait / 1ms) };
         if (const auto* body = std::get_if<ItemBodyRequest>(&call))
-            return BodyAsk { body->job_, body->item_ };
-        return EndAsk { std::get<JobCancelRequest>(call).job_ };
+            return BodyRequest { body->job_, body->item_ };
+        return CancelJobRequest { std::get<JobCancelRequest>(call).job_ };
     }
 
     std::string_view nameOf(const JobRequest& call)
@@ -64,7 +64,7 @@
     IntakeOutlets outlets;
     outlets.store_ = [&store](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store.send(std::move(call), callClass, until, std::move(done)); };
     outlets.isStoreUnavailable_ = [&store] { return store.isUnreachable(); };
-    outlets.chooseReplicas_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->keepersOf({ context_.settings_.lostHosts_, context_.settings_.lostDomains_, context_.settings_.lostRegions_ }, silent); };
+    outlets.chooseReplicas_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->selectSpoolHosts({ context_.settings_.lostHosts_, context_.settings_.lostDomains_, context_.settings_.lostRegions_ }, silent); };
     outlets.requestSpooling_ = [this](NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done) { keepAt(host, std::move(job), std::move(done)); };
     outlets.discardCopy_ = [this](NodeId host, const JobName& job) { forgetAt(host, job); };
     outlets.ownerOf_ = [this](const JobName& job) { return context_.fleet_->preferredOwner(job, context_.fleet_->self()); };
@@ -97,8 +97,8 @@
 void JobFront::keepAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done)
 {
     const JobName name = job.submission_.job_;
-    context_.fleet_->ask(host, KeepAsk { std::move(job) }, keepBound, [this, host, name, done = std::move(done)](const Result<PeerReply>& reply) {
-        const auto* kept = reply ? std::get_if<KeepReply>(&reply.value()) : nullptr;
+    context_.fleet_->request(host, SpoolRequest { std::move(job) }, keepBound, [this, host, name, done = std::move(done)](const Result<PeerReply>& reply) {
+        const auto* kept = reply ? std::get_if<SpoolReply>(&reply.value()) : nullptr;
         const SpoolOutcome outcome = kept ? kept->outcome_ : SpoolOutcome::Unknown;
         if (outcome != SpoolOutcome::Spooled)
             context_.log_.line("copyMissing").with("job", name).with("host", host.value()).with("outcome", kept ? "refused" : "unknown");
@@ -108,7 +108,7 @@
 
 void JobFront::forgetAt(NodeId host, const JobName& job)
 {
-    context_.fleet_->ask(host, ForgetAsk { job }, keepBound, [this, job](const Result<PeerReply>& reply) {
+    context_.fleet_->request(host, DropSpooledRequest { job }, keepBound, [this, job](const Result<PeerReply>& reply) {
         if (!reply)
             context_.log_.line("copyNotForgotten").with("job", job).with("error", reply.error().message());
     });
@@ -144,7 +144,7 @@
     const NodeId owner = acceptance.head_.owner_;
     if (owner == context_.fleet_->self())
         return scheduler_.adopt(std::move(transfer), context_.now(), SystemClock().wallNow());
-    context_.fleet_->ask(owner, AdoptAsk { std::move(transfer) }, callBound, [this, job, acceptance, tries](const Result<PeerReply>& reply) {
+    context_.fleet_->request(owner, AdoptRequest { std::move(transfer) }, callBound, [this, job, acceptance, tries](const Result<PeerReply>& reply) {
         if (reply)
             return;
         context_.log_.line("ownerUnreachable").with("job", job).with("tries", tries + 1).with("error", reply.error().message());
@@ -185,7 +185,7 @@
     if (asked->next_ == context_.fleet_->self() || asked->next_.isNone())
         return askHere(asked, asked->next_.isNone());
     const HopTimes times = hopTimes(waitOf(asked->call_), context_.now() - asked->began_);
-    context_.fleet_->ask(asked->next_, peerCallOf(asked->call_, times.wait_), times.bound_, [this, asked](Result<PeerReply> reply) {
+    context_.fleet_->request(asked->next_, peerCallOf(asked->call_, times.wait_), times.bound_, [this, asked](Result<PeerReply> reply) {
         if (!reply) {
             context_.log_.line("ownerUnreachable").with("job", jobOf(asked->call_)).with("call", nameOf(asked->call_)).with("owner", asked->next_.value()).with("error", reply.error().message());
             return askHere(asked, true);
--- a/libs/serving/src/PeerLag.h
+++ b/libs/serving/src/PeerLag.h
@@ -20,21 +20,21 @@
 
     // Records that a peer has `version`, which this node hasn't applied. Returns true if the node should request an update now; only a
     // passive node does so immediately.
-    bool mustAsk(std::uint64_t version, bool isPassive, TimePoint now)
+    bool recordPeerVersion(std::uint64_t version, bool isPassive, TimePoint now)
     {
         if (version <= version_)
             return false;
         version_ = version;
-        aheadSince_ = now;
-        return isPassive && mayAsk(now);
+        behindSince_ = now;
+        return isPassive && tryRequest(now);
     }
 
     // Called while this node hasn't applied version() yet. Returns true if it should request an update now, and records the time of that
     // request.
-    bool mustAskAgain(bool isPassive, TimePoint now)
+    bool mustRequest(bool isPassive, TimePoint now)
     {
-        const Duration patience = isPassive ? Duration::zero() : times_.maxLag_;
-        return now - aheadSince_ >= patience && mayAsk(now);
+        const Duration delay = isPassive ? Duration::zero() : times_.maxLag_;
+        return now - behindSince_ >= delay && tryRequest(now);
     }
 
     // Returns the newest version that a peer has reported; 0 if none has.
@@ -42,18 +42,18 @@
 
 private:
     // Returns whether the minimum interval since the last request has passed; if so, records `now` as the time of the next one.
-    bool mayAsk(TimePoint now)
+    bool tryRequest(TimePoint now)
     {
-        if (now - askedAt_ < times_.minRequestInterval_)
+        if (now - requestedAt_ < times_.minRequestInterval_)
             return false;
-        askedAt_ = now;
+        requestedAt_ = now;
         return true;
     }
 
     FollowerTimes times_;
     std::uint64_t version_ = 0;
-    TimePoint aheadSince_ {};
-    TimePoint askedAt_ {};
+    TimePoint behindSince_ {};
+    TimePoint requestedAt_ {};
 };
 
 } // namespace jj
--- a/libs/serving/src/PeerMessages.cpp
+++ b/libs/serving/src/PeerMessages.cpp
@@ -130,69 +130,69 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, KeepAsk& ask)
+void serialize(Archive& archive, SpoolRequest& request)
 {
-    archive(ask.job_);
+    archive(request.job_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ForgetAsk& ask)
+void serialize(Archive& archive, DropSpooledRequest& request)
 {
-    archive(ask.job_);
+    archive(request.job_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, FoundObject& found)
+void serialize(Archive& archive, ObjectNotice& notice)
 {
-    archive(found.key_);
+    archive(notice.key_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, KeepReply& reply)
+void serialize(Archive& archive, SpoolReply& reply)
 {
     archive(reply.outcome_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, StoreAsk& ask)
+void serialize(Archive& archive, StoreRequest& request)
 {
-    archive(ask.call_);
+    archive(request.call_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, UpdateRequest& ask)
+void serialize(Archive& archive, UpdateRequest& request)
 {
-    archive(ask.configVersion_, ask.enginesVersion_);
+    archive(request.configVersion_, request.enginesVersion_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, AdoptAsk& ask)
+void serialize(Archive& archive, AdoptRequest& request)
 {
-    archive(ask.job_);
+    archive(request.job_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ReadAsk& ask)
+void serialize(Archive& archive, ReadRequest& request)
 {
-    archive(ask.job_, ask.after_, ask.waitMs_);
+    archive(request.job_, request.after_, request.waitMs_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, BodyAsk& ask)
+void serialize(Archive& archive, BodyRequest& request)
 {
-    archive(ask.job_, ask.item_);
+    archive(request.job_, request.item_);
 }
 
 template <class Archive>
-void serialize(Archive& archive, EndAsk& ask)
+void serialize(Archive& archive, CancelJobRequest& request)
 {
-    archive(ask.job_);
+    archive(request.job_);
 }
 
 template <class Archive>
 void serialize(Archive& archive, MissingEngine& missing)
 {
-    archive(missing.key_, missing.version_, missing.goneIn_);
+    archive(missing.key_, missing.version_, missing.timeToRemoval_);
 }
 
 template <class Archive>
@@ -204,7 +204,7 @@
 template <class Archive>
 void serialize(Archive& archive, EngineUpdate& update)
 {
-    archive(update.version_, update.isWhole_, update.entries_, update.unchanged_, update.removed_, update.missing_, update.gaps_);
+    archive(update.version_, update.isFullState_, update.entries_, update.unchanged_, update.removed_, update.missing_, update.gaps_);
 }
 
 template <class Archive>
@@ -216,7 +216,7 @@
 template <class Archive>
 void serialize(Archive& archive, AdoptReply& reply)
 {
-    archive(reply.taken_);
+    archive(reply.accepted_);
 }
 
 template <class Archive>
@@ -248,8 +248,8 @@
         cereal::BinaryOutputArchive archive(out);
         archive(message);
         std::string bytes = std::move(out).str();
-        const auto code = key.mac({ label, bytes });
-        bytes.append(code.data(), code.size());
+        const auto mac = key.mac({ label, bytes });
+        bytes.append(mac.data(), mac.size());
         return bytes;
     }
 
@@ -258,9 +258,9 @@
     {
         if (bytes.size() < macBytes)
             return PeerError::Unauthentic;
-        const std::string_view code = bytes.substr(bytes.size() - macBytes);
+        const std::string_view mac = bytes.substr(bytes.size() - macBytes);
         bytes.remove_suffix(macBytes);
-        if (!key.verify(code, { label, bytes }))
+        if (!key.verify(mac, { label, bytes }))
             return PeerError::Unauthentic;
         std::istringstream in { std::string(bytes) };
         try {
@@ -283,8 +283,8 @@
 
 std::size_t EngineUpdate::bytes() const
 {
-    constexpr std::size_t frame = 40; // estimated size of the lengths, versions and the key of an entry
-    std::size_t sum = (entries_.size() + unchanged_.size() + removed_.size() + missing_.size() + gaps_.size()) * frame;
+    constexpr std::size_t entryOverhead = 40; // estimated size of the lengths, versions and the key of an entry
+    std::size_t sum = (entries_.size() + unchanged_.size() + removed_.size() + missing_.size() + gaps_.size()) * entryOverhead;
     for (const ObjectEntry& entry : entries_)
         sum += entry.value_.size();
     return sum;
--- a/libs/serving/src/PeerMessages.h
+++ b/libs/serving/src/PeerMessages.h
@@ -20,7 +20,7 @@
 namespace jj {
 
 // Asks the receiver to make a call to the store, which the sender can't reach itself.
-struct StoreAsk {
+struct StoreRequest {
     ObjectCall call_;
 };
 // Requests all changes since the versions that the sender has.
@@ -29,48 +29,48 @@
     std::uint64_t enginesVersion_ = 0;
 };
 // Transfers the ownership of a job to the receiver.
-struct AdoptAsk {
+struct AdoptRequest {
     JobTransfer job_;
 };
 // Reads results of a job after position after_. The receiver may wait for up to waitMs_ until there are some.
-struct ReadAsk {
+struct ReadRequest {
     JobName job_;
     std::uint32_t after_ = 0;
     std::uint32_t waitMs_ = 0;
 };
 // Reads the request body of an item.
-struct BodyAsk {
+struct BodyRequest {
     JobName job_;
     std::string item_;
 };
 // Cancels a job for its caller.
-struct EndAsk {
+struct CancelJobRequest {
     JobName job_;
 };
 // Asks the receiver to spool a job on its disk until the store accepts jobs again.
-struct KeepAsk {
+struct SpoolRequest {
     SpooledJob job_;
 };
 // Asks the receiver to delete its spooled copy of a job, because the store has the job now.
-struct ForgetAsk {
+struct DropSpooledRequest {
     JobName job_;
 };
 // Notifies a host that runs jobs of an object that the sender, which follows the store, has found: the mark of a job that was
 // cancelled bypassing its owner, or an order to drain a host.
-struct FoundObject {
+struct ObjectNotice {
     std::string key_;
 };
-using PeerCall = std::variant<StoreAsk, UpdateRequest, AdoptAsk, ReadAsk, BodyAsk, EndAsk, KeepAsk, ForgetAsk, FoundObject>;
+using PeerCall = std::variant<StoreRequest, UpdateRequest, AdoptRequest, ReadRequest, BodyRequest, CancelJobRequest, SpoolRequest, DropSpooledRequest, ObjectNotice>;
 
 // An engine whose entry the store no longer has, while the sender still uses the engine; see EngineCatalog.h.
 struct MissingEngine {
     std::string key_;
     ObjectVersion version_; // of the removal
-    Duration goneIn_ {}; // remaining time until the sender removes the engine, as of the time of sending
+    Duration timeToRemoval_ {}; // remaining time until the sender removes the engine, as of the time of sending
 };
 struct EngineUpdate {
     std::uint64_t version_ = 0; // of the newest change in the update; 0: the sender hasn't received any engines yet
-    bool isWhole_ = false; // a full state: engines in neither entries_ nor unchanged_ have been removed
+    bool isFullState_ = false; // a full state: engines in neither entries_ nor unchanged_ have been removed
     std::vector<ObjectEntry> entries_; // new and changed entries, with their values as in the store
     std::vector<std::string> unchanged_; // keys of engines of which the requester has the current entry; only in a full state
     std::vector<std::string> removed_; // keys of removed engines; only in an incremental update
@@ -85,15 +85,15 @@
     EngineUpdate engines_;
     bool isBusy_ = false; // no update: the sender's budget for updates is used up; another peer can supply it
 };
-// Also acknowledges a FoundObject.
+// Also acknowledges a ObjectNotice.
 struct AdoptReply {
-    bool taken_ = false;
+    bool accepted_ = false;
 };
-// Also acknowledges a ForgetAsk; the outcome has no meaning then.
-struct KeepReply {
+// Also acknowledges a DropSpooledRequest; the outcome has no meaning then.
+struct SpoolReply {
     SpoolOutcome outcome_ = SpoolOutcome::Refused;
 };
-using PeerReply = std::variant<ObjectAnswer, UpdateReply, AdoptReply, ReadAnswer, BodyAnswer, CancelAnswer, KeepReply>;
+using PeerReply = std::variant<ObjectAnswer, UpdateReply, AdoptReply, ReadAnswer, BodyAnswer, CancelAnswer, SpoolReply>;
 
 enum class PeerError : int {
     Unauthentic = 1, // the authentication code is wrong
--- a/libs/serving/src/PeerTable.cpp
+++ b/libs/serving/src/PeerTable.cpp
@@ -5,13 +5,13 @@
 
 PeerTable::Change PeerTable::apply(const MemberRumor& member, TimePoint now)
 {
-    const auto [place, isNew] = places_.try_emplace(member.node_, rows_.size());
+    const auto [entry, isNew] = rowIndices_.try_emplace(member.node_, rows_.size());
     if (isNew)
         rows_.emplace_back();
-    Peer& peer = rows_[place->second];
+    Peer& peer = rows_[entry->second];
     const bool wasLive = !isNew && peer.isLive();
     if (wasLive)
-        --countOf(peer);
+        --liveCountFor(peer);
     peer.node_ = member.node_;
     peer.at_ = member.endpoint_;
     peer.region_ = member.region_;
@@ -19,23 +19,23 @@
     peer.state_ = member.state_;
     peer.leaving_ = member.leaving_;
     if (peer.isLive())
-        ++countOf(peer);
+        ++liveCountFor(peer);
     if (wasLive && !peer.isLive())
-        peer.goneAt_ = now;
+        peer.downSince_ = now;
     ++revision_;
     return { !wasLive && peer.isLive(), wasLive && !peer.isLive() };
 }
 
 Peer* PeerTable::find(NodeId node)
 {
-    const auto found = places_.find(node);
-    return found == places_.end() ? nullptr : &rows_[found->second];
+    const auto found = rowIndices_.find(node);
+    return found == rowIndices_.end() ? nullptr : &rows_[found->second];
 }
 
 const Peer* PeerTable::find(NodeId node) const
 {
-    const auto found = places_.find(node);
-    return found == places_.end() ? nullptr : &rows_[found->second];
+    const auto found = rowIndices_.find(node);
+    return found == rowIndices_.end() ? nullptr : &rows_[found->second];
 }
 
 } // namespace jj
--- a/libs/serving/src/PeerTable.h
+++ b/libs/serving/src/PeerTable.h
@@ -22,14 +22,14 @@
     MemberState state_ = MemberState::Alive;
     bool leaving_ = false;
     bool runsJobs_ = false;
-    TimePoint goneAt_ {}; // only valid while the node isn't live
-    TimePoint heardAt_ {}; // last time when its report arrived, or a summary of its cell that lists it
+    TimePoint downSince_ {}; // only valid while the node isn't live
+    TimePoint lastSeenAt_ {}; // last time when its report arrived, or a summary of its cell that lists it
     std::uint64_t configVersion_ = 0;
     std::uint64_t enginesVersion_ = 0;
     bool watching_ = false;
-    bool keepsJobs_ = false;
-    std::uint32_t keptJobs_ = 0;
-    bool lostStore_ = false;
+    bool spoolsJobs_ = false;
+    std::uint32_t spooledJobs_ = 0;
+    bool isStoreUnreachable_ = false;
 
     bool isLive() const { return state_ == MemberState::Alive || state_ == MemberState::Suspect; }
 };
@@ -43,8 +43,8 @@
     }
 
     struct Change {
-        bool hasCome_ = false; // the node is live now and wasn't before
-        bool hasGone_ = false; // the node was live before and isn't now
+        bool cameUp_ = false; // the node is live now and wasn't before
+        bool wentDown_ = false; // the node was live before and isn't now
     };
     Change apply(const MemberRumor& member, TimePoint now);
 
@@ -55,20 +55,20 @@
     const std::vector<Peer>& rows() const { return rows_; }
 
     // Return the number of live nodes in this node's region, and in all other regions.
-    std::size_t liveNear() const { return liveNear_; }
-    std::size_t liveFar() const { return liveFar_; }
+    std::size_t liveInRegion() const { return liveInRegion_; }
+    std::size_t liveElsewhere() const { return liveElsewhere_; }
     // Returns a number that increases with each membership change.
     std::uint64_t revision() const { return revision_; }
 
 private:
-    std::size_t& countOf(const Peer& peer) { return peer.region_ == region_ ? liveNear_ : liveFar_; }
+    std::size_t& liveCountFor(const Peer& peer) { return peer.region_ == region_ ? liveInRegion_ : liveElsewhere_; }
 
     RegionId region_;
     std::vector<Peer> rows_;
-    boost::unordered_flat_map<NodeId, std::size_t, std::hash<NodeId>> places_; // indices into rows_
+    boost::unordered_flat_map<NodeId, std::size_t, std::hash<NodeId>> rowIndices_; // indices into rows_
     // Invariant: the number of live rows in this node's region, and in all other regions.
-    std::size_t liveNear_ = 0;
-    std::size_t liveFar_ = 0;
+    std::size_t liveInRegion_ = 0;
+    std::size_t liveElsewhere_ = 0;
     std::uint64_t revision_ = 0;
 };
 
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -221,7 +221,7 @@
     const auto holders = context_.board_.nodesRunningBatch(engine_);
     if (holders.empty() || slotAsks_ >= mostSlotAsks)
         return;
-    context_.fleet_->giveWay(holders[slotAsks_ % holders.size()], engine_);
+    context_.fleet_->requestPreemption(holders[slotAsks_ % holders.size()], engine_);
     ++slotAsks_;
     slotTimer_.expires_after(slotAskStep);
     slotTimer_.async_wait([weak = weak_from_this(), offer = offers_](const boost::system::error_code& error) {
--- a/libs/serving/src/ReportExchange.cpp
+++ b/libs/serving/src/ReportExchange.cpp
@@ -8,23 +8,23 @@
 namespace {
 
     // An unchanged report is repeated after this time, to make up for lost datagrams.
-    constexpr Duration refreshPeriod = 500ms;
+    constexpr Duration reportRefreshPeriod = 500ms;
     // A report newer than this shows that its sender is alive and reachable. A delegate lists only nodes with such a report in its summary.
     // It is also the upper limit for the age that a received summary states.
-    constexpr Duration freshReport = 1200ms;
+    constexpr Duration freshReportAge = 1200ms;
     // Time between two summaries of a changed cell. It grows with the fleet within the bounds below, so small fleets update faster.
     constexpr Duration summaryPeriodPerNode = 5ms;
-    constexpr Duration leastSummaryPeriod = 45ms;
-    constexpr Duration longestSummaryPeriod = 250ms;
+    constexpr Duration minSummaryPeriod = 45ms;
+    constexpr Duration maxSummaryPeriod = 250ms;
     // Time between two summaries of an unchanged cell; well below CapacitySettings::cellTimeout_, after which a summary expires.
-    constexpr Duration summaryRefresh = 500ms;
+    constexpr Duration summaryRefreshPeriod = 500ms;
     // Minimum time between two summaries if the second one reports a new version of the configuration or the engines.
-    constexpr Duration versionSpacing = 20ms;
+    constexpr Duration minVersionInterval = 20ms;
     // Nodes that aren't live count for the split into cells for this time, so that the split doesn't change while many nodes restart.
-    constexpr Duration goneCounts = 60s;
+    constexpr Duration downNodeRetention = 60s;
     // Without a membership change the cells are rebuilt after this time, to drop nodes that have been down for longer than
-    // goneCounts.
-    constexpr Duration cellsRefresh = 10s;
+    // downNodeRetention.
+    constexpr Duration cellsRebuildPeriod = 10s;
 
 } // namespace
 
@@ -40,14 +40,14 @@
 
 void ReportExchange::publish()
 {
-    pending_ = true;
+    isReportPending_ = true;
     isDirty_ = true;
 }
 
 // A report that the pace doesn't allow yet is sent by a later tick.
 void ReportExchange::sendPending(TimePoint now)
 {
-    if (pending_ && now >= pace_.nextAt())
+    if (isReportPending_ && now >= pace_.nextReportAt())
         sendReport(false, now);
 }
 
@@ -59,14 +59,14 @@
     report.use_.sequence_ = ++sequence_;
     report.runsJobs_ = self_.runsJobs_;
     report.leaving_ = leaving_;
-    pending_ = false;
+    isReportPending_ = false;
     reportedAt_ = now;
     pace_.sent(now);
     // All nodes need to know immediately which nodes follow the store, because they start or stop following it accordingly.
-    const bool isWatchNew = report.watching_ != reportedWatching_;
+    const bool hasWatchingChanged = report.watching_ != reportedWatching_;
     reportedWatching_ = report.watching_;
-    if (!toAll && !isWatchNew)
-        return outlets_.send_(mateAddresses_, report);
+    if (!toAll && !hasWatchingChanged)
+        return outlets_.send_(cellPeerAddresses_, report);
     std::vector<PeerAddress> all;
     for (const Peer& peer : peers_.rows()) {
         if (peer.isLive())
@@ -81,20 +81,20 @@
     sendReport(true, now);
 }
 
-void ReportExchange::received(const NodeReport& report, TimePoint now)
+void ReportExchange::handle(const NodeReport& report, TimePoint now)
 {
-    pace_.heard();
+    pace_.received();
     isDirty_ = true;
     if (Peer* peer = peers_.find(report.use_.node_)) {
         peer->runsJobs_ = report.runsJobs_;
         peer->leaving_ = peer->leaving_ || report.leaving_;
-        peer->heardAt_ = now;
+        peer->lastSeenAt_ = now;
         peer->configVersion_ = report.configVersion_;
         peer->enginesVersion_ = report.enginesVersion_;
         peer->watching_ = report.watching_;
-        peer->keepsJobs_ = report.keepsJobs_;
-        peer->keptJobs_ = report.keptJobs_;
-        peer->lostStore_ = report.lostStore_;
+        peer->spoolsJobs_ = report.spoolsJobs_;
+        peer->spooledJobs_ = report.spooledJobs_;
+        peer->isStoreUnreachable_ = report.isStoreUnreachable_;
     }
     outlets_.onReport_(report, cells_.cellOf(report.use_.node_) == ownCell());
 }
@@ -105,7 +105,7 @@
 {
     refreshCells(now);
     pace_.tick(now);
-    if (now - reportedAt_ >= refreshPeriod)
+    if (now - reportedAt_ >= reportRefreshPeriod)
         sendReport(false, now);
     else
         sendPending(now);
@@ -114,25 +114,25 @@
 
 void ReportExchange::refreshCells(TimePoint now)
 {
-    if (seenRevision_ == peers_.revision() && now - cellsAt_ < cellsRefresh)
+    if (seenRevision_ == peers_.revision() && now - cellsRebuiltAt_ < cellsRebuildPeriod)
         return;
     seenRevision_ = peers_.revision();
-    cellsAt_ = now;
+    cellsRebuiltAt_ = now;
     std::vector<CellMember> members { { self_.node_, self_.region_, self_.domain_, true, leaving_ } };
     for (const Peer& peer : peers_.rows()) {
-        if (peer.isLive() || now - peer.goneAt_ < goneCounts)
+        if (peer.isLive() || now - peer.downSince_ < downNodeRetention)
             members.push_back({ peer.node_, peer.region_, peer.domain_, peer.isLive(), peer.leaving_ });
     }
     const Cells::Change change = cells_.rebuild(members);
     if (change.nodes_) {
-        std::vector<NodeId> others = mates();
+        std::vector<NodeId> others = cellNodes();
         std::erase(others, self_.node_);
-        mateAddresses_ = addressesOf(others);
+        cellPeerAddresses_ = addressesOf(others);
     }
     if (!change.layout_)
         return;
     const std::vector<CellId> cells = cells_.cells();
-    std::erase_if(known_, [&cells](const auto& entry) { return std::find(cells.begin(), cells.end(), entry.first) == cells.end(); });
+    std::erase_if(receivedSummaries_, [&cells](const auto& entry) { return std::find(cells.begin(), cells.end(), entry.first) == cells.end(); });
     outlets_.onCellsChanged_();
 }
 
@@ -156,8 +156,8 @@
 
 Duration ReportExchange::summaryPeriod(std::size_t rank) const
 {
-    const auto nodes = static_cast<Duration::rep>(peers_.liveNear() + peers_.liveFar());
-    const Duration period = std::clamp<Duration>(summaryPeriodPerNode * nodes, leastSummaryPeriod, longestSummaryPeriod);
+    const auto nodes = static_cast<Duration::rep>(peers_.liveInRegion() + peers_.liveElsewhere());
+    const Duration period = std::clamp<Duration>(summaryPeriodPerNode * nodes, minSummaryPeriod, maxSummaryPeriod);
     return period * static_cast<Duration::rep>(rank + 1);
 }
 
@@ -167,13 +167,13 @@
     if (rank >= cells_.delegates(ownCell()).size())
         return;
     const KnownVersions versions = outlets_.ownVersions_();
-    const bool hasNewVersion = versions.config_ + versions.engines_ > sentVersions_ && now - summedUpAt_ >= versionSpacing;
-    const bool isDue = isDirty_ && now - summedUpAt_ >= summaryPeriod(rank);
-    if (hasNewVersion || isDue || now - summedUpAt_ >= summaryRefresh)
+    const bool hasNewVersion = versions.config_ + versions.engines_ > sentVersionSum_ && now - summarizedAt_ >= minVersionInterval;
+    const bool isDue = isDirty_ && now - summarizedAt_ >= summaryPeriod(rank);
+    if (hasNewVersion || isDue || now - summarizedAt_ >= summaryRefreshPeriod)
         sendSummary(rank, now);
-    const bool hasNew = std::any_of(known_.begin(), known_.end(), [](const auto& entry) { return !entry.second.isPassedOn_; });
-    if (hasNew && now - passedOnAt_ >= summaryPeriod(rank))
-        passOn(now);
+    const bool hasNew = std::any_of(receivedSummaries_.begin(), receivedSummaries_.end(), [](const auto& entry) { return !entry.second.isForwarded_; });
+    if (hasNew && now - forwardedAt_ >= summaryPeriod(rank))
+        forwardSummaries(now);
 }
 
 CellSummary ReportExchange::ownSummary(TimePoint now) const
@@ -185,17 +185,17 @@
     summary.use_.delegate_ = self_.node_;
     summary.configVersion_ = own.configVersion_;
     summary.enginesVersion_ = own.enginesVersion_;
-    summary.liveNodes_ = static_cast<std::uint32_t>(mates().size());
-    if (self_.runsJobs_ || own.watching_ || own.keptJobs_ > 0 || own.lostStore_)
-        summary.nodes_.push_back({ self_.node_, self_.runsJobs_, own.watching_, own.keepsJobs_, own.keptJobs_, false, own.lostStore_ });
-    for (const NodeId node : mates()) {
+    summary.liveNodes_ = static_cast<std::uint32_t>(cellNodes().size());
+    if (self_.runsJobs_ || own.watching_ || own.spooledJobs_ > 0 || own.isStoreUnreachable_)
+        summary.nodes_.push_back({ self_.node_, self_.runsJobs_, own.watching_, own.spoolsJobs_, own.spooledJobs_, false, own.isStoreUnreachable_ });
+    for (const NodeId node : cellNodes()) {
         const Peer* peer = peers_.find(node);
-        if (!peer || now - peer->heardAt_ >= freshReport)
+        if (!peer || now - peer->lastSeenAt_ >= freshReportAge)
             continue;
         const bool isBehind = peer->configVersion_ < own.configVersion_;
-        const bool isReliedOn = peer->runsJobs_ || peer->watching_ || peer->keptJobs_ > 0;
-        if (isReliedOn || isBehind || peer->lostStore_)
-            summary.nodes_.push_back({ node, peer->runsJobs_, peer->watching_, peer->keepsJobs_, peer->keptJobs_, isBehind, peer->lostStore_ });
+        const bool isReliedOn = peer->runsJobs_ || peer->watching_ || peer->spooledJobs_ > 0;
+        if (isReliedOn || isBehind || peer->isStoreUnreachable_)
+            summary.nodes_.push_back({ node, peer->runsJobs_, peer->watching_, peer->spoolsJobs_, peer->spooledJobs_, isBehind, peer->isStoreUnreachable_ });
     }
     return summary;
 }
@@ -203,9 +203,9 @@
 std::vector<CellSummary> ReportExchange::summaries(TimePoint now) const
 {
     std::vector<CellSummary> all { ownSummary(now) };
-    for (const auto& [cell, known] : known_) {
-        all.push_back(known.summary_);
-        all.back().age_ = now - known.at_;
+    for (const auto& [cell, latest] : receivedSummaries_) {
+        all.push_back(latest.summary_);
+        all.back().age_ = now - latest.at_;
     }
     return all;
 }
@@ -214,8 +214,8 @@
 {
     const CellSummary summary = ownSummary(now);
     isDirty_ = false;
-    summedUpAt_ = now;
-    sentVersions_ = summary.configVersion_ + summary.enginesVersion_;
+    summarizedAt_ = now;
+    sentVersionSum_ = summary.configVersion_ + summary.enginesVersion_;
     std::vector<NodeId> receivers;
     for (const CellId cell : cells_.cells()) {
         const auto& delegates = cells_.delegates(cell);
@@ -226,47 +226,47 @@
         outlets_.send_(addressesOf(receivers), CellDigest { { summary }, false });
 }
 
-void ReportExchange::passOn(TimePoint now)
+void ReportExchange::forwardSummaries(TimePoint now)
 {
     const KnownVersions versions = outlets_.ownVersions_();
     std::vector<CellSummary> summaries;
-    for (auto& [cell, known] : known_) {
-        if (known.isPassedOn_)
+    for (auto& [cell, latest] : receivedSummaries_) {
+        if (latest.isForwarded_)
             continue;
-        known.isPassedOn_ = true;
-        CellSummary& summary = summaries.emplace_back(known.summary_);
-        summary.age_ = now - known.at_;
+        latest.isForwarded_ = true;
+        CellSummary& summary = summaries.emplace_back(latest.summary_);
+        summary.age_ = now - latest.at_;
         // Versions that this node hasn't applied yet aren't advertised to its cell. Otherwise all nodes of the cell would request the
         // update from one remote delegate; this way they request it within their cell once a node there has it.
         summary.configVersion_ = std::min(summary.configVersion_, versions.config_);
         summary.enginesVersion_ = std::min(summary.enginesVersion_, versions.engines_);
     }
-    passedOnAt_ = now;
-    for (const CellDigest& digest : passedOn(summaries))
-        outlets_.send_(mateAddresses_, digest);
+    forwardedAt_ = now;
+    for (const CellDigest& digest : packDigests(summaries))
+        outlets_.send_(cellPeerAddresses_, digest);
 }
 
-void ReportExchange::received(const CellDigest& digest, TimePoint now)
+void ReportExchange::handle(const CellDigest& digest, TimePoint now)
 {
-    pace_.heard();
+    pace_.received();
     for (const CellSummary& summary : digest.cells_) {
         if (summary.use_.cell_ == ownCell())
             continue;
-        const TimePoint at = now - std::clamp<Duration>(summary.age_, Duration::zero(), freshReport);
-        Known& known = known_[summary.use_.cell_];
-        if (known.at_ >= at)
+        const TimePoint at = now - std::clamp<Duration>(summary.age_, Duration::zero(), freshReportAge);
+        ReceivedSummary& latest = receivedSummaries_[summary.use_.cell_];
+        if (latest.at_ >= at)
             continue;
-        known = { summary, at, digest.isPassedOn_ };
+        latest = { summary, at, digest.isForwarded_ };
         for (const CellNode& node : summary.nodes_) {
             Peer* peer = peers_.find(node.node_);
             if (!peer)
                 continue;
-            peer->heardAt_ = now;
+            peer->lastSeenAt_ = now;
             peer->runsJobs_ = node.runsJobs_;
             peer->watching_ = node.watching_;
-            peer->keepsJobs_ = node.keepsJobs_;
-            peer->keptJobs_ = node.keptJobs_;
-            peer->lostStore_ = node.lostStore_;
+            peer->spoolsJobs_ = node.spoolsJobs_;
+            peer->spooledJobs_ = node.spooledJobs_;
+            peer->isStoreUnreachable_ = node.isStoreUnreachable_;
         }
         if (Peer* delegate = peers_.find(summary.use_.delegate_)) {
             delegate->configVersion_ = summary.configVersion_;
--- a/libs/serving/src/ReportExchange.h
+++ b/libs/serving/src/ReportExchange.h
@@ -48,8 +48,8 @@
     std::function<KnownVersions()> ownVersions_;
     // Returns the load of this node's cell, according to the reports that this node has received.
     std::function<CellUse()> ownCell_;
-    // A report of another node has arrived. `isMate` says whether that node is in the same cell.
-    std::function<void(const NodeReport&, bool isMate)> onReport_;
+    // A report of another node has arrived. `isSameCell` says whether that node is in the same cell.
+    std::function<void(const NodeReport&, bool isSameCell)> onReport_;
     // A summary of another cell has arrived, which describes its state at the time `at`.
     std::function<void(const CellSummary&, TimePoint at)> onCell_;
     // The assignment of nodes and engines to cells has changed.
@@ -67,24 +67,24 @@
     // Sends the changed report if the report pace allows it now.
     void sendPending(TimePoint now);
     void tick(TimePoint now);
-    void received(const NodeReport& report, TimePoint now);
-    void received(const CellDigest& digest, TimePoint now);
+    void handle(const NodeReport& report, TimePoint now);
+    void handle(const CellDigest& digest, TimePoint now);
     // Sends a report to all live nodes that this node is leaving; all later reports say so too.
     void beginLeaving(TimePoint now);
 
     const Cells& cells() const { return cells_; }
     CellId ownCell() const { return cells_.cellOf(self_.node_); }
     // Returns the live nodes of this node's cell, including this node.
-    const std::vector<NodeId>& mates() const { return cells_.nodesOf(ownCell()); }
+    const std::vector<NodeId>& cellNodes() const { return cells_.nodesOf(ownCell()); }
     bool isLeaving() const { return leaving_; }
     // Returns a fresh summary of this node's cell and the last received summary of each other cell, with their ages.
     std::vector<CellSummary> summaries(TimePoint now) const;
 
 private:
-    struct Known {
+    struct ReceivedSummary {
         CellSummary summary_;
         TimePoint at_ {};
-        bool isPassedOn_ = false; // already forwarded to the nodes of this node's cell, by this node or by the other delegate
+        bool isForwarded_ = false; // already forwarded to the nodes of this node's cell, by this node or by the other delegate
     };
 
     void refreshCells(TimePoint now);
@@ -93,7 +93,7 @@
     std::size_t delegateRank() const;
     void tickDelegate(TimePoint now);
     void sendSummary(std::size_t rank, TimePoint now);
-    void passOn(TimePoint now);
+    void forwardSummaries(TimePoint now);
     CellSummary ownSummary(TimePoint now) const;
     Duration summaryPeriod(std::size_t rank) const;
     std::vector<PeerAddress> addressesOf(const std::vector<NodeId>& nodes) const;
@@ -103,21 +103,21 @@
     ExchangeOutlets outlets_;
     Cells cells_;
     std::uint64_t seenRevision_ = 0; // revision of peers_ at the last rebuild of the cells
-    TimePoint cellsAt_ {};
-    std::vector<PeerAddress> mateAddresses_;
+    TimePoint cellsRebuiltAt_ {};
+    std::vector<PeerAddress> cellPeerAddresses_;
 
     std::uint32_t sequence_ = 0;
     ReportPace pace_;
-    bool pending_ = false; // a report has to be sent as soon as the pace allows
+    bool isReportPending_ = false; // a report has to be sent as soon as the pace allows
     TimePoint reportedAt_ {};
     bool reportedWatching_ = false;
     bool leaving_ = false;
 
     bool isDirty_ = false; // reports were published or received since the last summary, so the load of this cell may have changed
-    TimePoint summedUpAt_ {};
-    TimePoint passedOnAt_ {};
-    std::uint64_t sentVersions_ = 0; // sum of both versions in the last summary; neither ever decreases
-    std::map<CellId, Known> known_; // the newest received summary of each other cell
+    TimePoint summarizedAt_ {};
+    TimePoint forwardedAt_ {};
+    std::uint64_t sentVersionSum_ = 0; // sum of both versions in the last summary; neither ever decreases
+    std::map<CellId, ReceivedSummary> receivedSummaries_; // the newest received summary of each other cell
 };
 
 } // namespace jj
--- a/libs/serving/src/ReportMessages.cpp
+++ b/libs/serving/src/ReportMessages.cpp
@@ -15,11 +15,11 @@
 
     // Maximum lengths of the lists in a datagram. Longer lists are truncated before sending, when a node or cell uses more engines, or has
     // more services with queued work, than a datagram can hold.
-    constexpr std::size_t mostUses = 700;
-    constexpr std::size_t mostShunned = 256;
-    constexpr std::size_t mostServices = 64;
-    constexpr std::size_t mostNodes = 64;
-    constexpr std::size_t mostCells = 64;
+    constexpr std::size_t maxUses = 700;
+    constexpr std::size_t maxBackedOff = 256;
+    constexpr std::size_t maxServices = 64;
+    constexpr std::size_t maxNodes = 64;
+    constexpr std::size_t maxCells = 64;
     // Upper bounds for the sizes on the wire, which follow from the fields serialized below. They serve to pack digests into frames.
     // serviceBytes covers both WaitingRequests and WaitingItems.
     constexpr std::size_t summaryBytes = 64;
@@ -31,27 +31,27 @@
     constexpr std::string_view datagramLabel = "serving datagram 5";
 
     template <class T>
-    void cut(std::vector<T>& list, std::size_t most) { list.resize(std::min(list.size(), most)); }
+    void truncate(std::vector<T>& list, std::size_t maxSize) { list.resize(std::min(list.size(), maxSize)); }
 
-    void cutToLimits(NodeUse& use)
+    void truncateToLimits(NodeUse& use)
     {
-        cut(use.uses_, mostUses);
-        cut(use.failingEngines_, mostShunned);
-        cut(use.waiting_, mostServices);
-        cut(use.items_, mostServices);
+        truncate(use.uses_, maxUses);
+        truncate(use.failingEngines_, maxBackedOff);
+        truncate(use.waiting_, maxServices);
+        truncate(use.items_, maxServices);
     }
 
-    void cutToLimits(NodeReport& report) { cutToLimits(report.use_); }
-    void cutToLimits(GiveWay&) { }
-    void cutToLimits(CellDigest& digest)
+    void truncateToLimits(NodeReport& report) { truncateToLimits(report.use_); }
+    void truncateToLimits(PreemptRequest&) { }
+    void truncateToLimits(CellDigest& digest)
     {
-        cut(digest.cells_, mostCells);
+        truncate(digest.cells_, maxCells);
         for (CellSummary& cell : digest.cells_) {
-            cut(cell.use_.uses_, mostUses);
-            cut(cell.use_.failingEngines_, mostShunned);
-            cut(cell.use_.waiting_, mostServices);
-            cut(cell.use_.items_, mostServices);
-            cut(cell.nodes_, mostNodes);
+            truncate(cell.use_.uses_, maxUses);
+            truncate(cell.use_.failingEngines_, maxBackedOff);
+            truncate(cell.use_.waiting_, maxServices);
+            truncate(cell.use_.items_, maxServices);
+            truncate(cell.nodes_, maxNodes);
         }
     }
 
@@ -87,45 +87,45 @@
 void serialize(Archive& archive, NodeUse& use)
 {
     archive(use.node_, use.incarnation_, use.sequence_);
-    archive(list<mostUses>(use.uses_), list<mostShunned>(use.failingEngines_), list<mostServices>(use.waiting_), list<mostServices>(use.items_));
+    archive(list<maxUses>(use.uses_), list<maxBackedOff>(use.failingEngines_), list<maxServices>(use.waiting_), list<maxServices>(use.items_));
 }
 
 template <class Archive>
 void serialize(Archive& archive, NodeReport& report)
 {
     archive(report.use_, Flag { report.runsJobs_ }, Flag { report.leaving_ }, report.configVersion_, report.enginesVersion_);
-    archive(Flag { report.watching_ }, Flag { report.keepsJobs_ }, report.keptJobs_, Flag { report.lostStore_ });
+    archive(Flag { report.watching_ }, Flag { report.spoolsJobs_ }, report.spooledJobs_, Flag { report.isStoreUnreachable_ });
 }
 
 template <class Archive>
-void serialize(Archive& archive, GiveWay& ask)
+void serialize(Archive& archive, PreemptRequest& request)
 {
-    archive(ask.from_, ask.engine_, Flag { ask.isPassedOn_ });
+    archive(request.from_, request.engine_, Flag { request.isForwarded_ });
 }
 
 template <class Archive>
 void serialize(Archive& archive, CellUse& use)
 {
     archive(use.cell_, use.delegate_);
-    archive(list<mostUses>(use.uses_), list<mostShunned>(use.failingEngines_), list<mostServices>(use.waiting_), list<mostServices>(use.items_));
+    archive(list<maxUses>(use.uses_), list<maxBackedOff>(use.failingEngines_), list<maxServices>(use.waiting_), list<maxServices>(use.items_));
 }
 
 template <class Archive>
 void serialize(Archive& archive, CellNode& node)
 {
-    archive(node.node_, Flag { node.runsJobs_ }, Flag { node.watching_ }, Flag { node.keepsJobs_ }, node.keptJobs_, Flag { node.isBehind_ }, Flag { node.lostStore_ });
+    archive(node.node_, Flag { node.runsJobs_ }, Flag { node.watching_ }, Flag { node.spoolsJobs_ }, node.spooledJobs_, Flag { node.isBehind_ }, Flag { node.isStoreUnreachable_ });
 }
 
 template <class Archive>
 void serialize(Archive& archive, CellSummary& cell)
 {
-    archive(cell.use_, Milliseconds { cell.age_ }, cell.configVersion_, cell.enginesVersion_, cell.liveNodes_, list<mostNodes>(cell.nodes_));
+    archive(cell.use_, Milliseconds { cell.age_ }, cell.configVersion_, cell.enginesVersion_, cell.liveNodes_, list<maxNodes>(cell.nodes_));
 }
 
 template <class Archive>
 void serialize(Archive& archive, CellDigest& digest)
 {
-    archive(list<mostCells>(digest.cells_), Flag { digest.isPassedOn_ });
+    archive(list<maxCells>(digest.cells_), Flag { digest.isForwarded_ });
 }
 
 // NOLINTEND(readability-identifier-naming)
@@ -153,7 +153,7 @@
         case 0:
             return read<NodeReport>(archive, source);
         case 1:
-            return read<GiveWay>(archive, source);
+            return read<PreemptRequest>(archive, source);
         case 2:
             return read<CellDigest>(archive, source);
         default:
@@ -173,13 +173,13 @@
         archive(static_cast<std::uint8_t>(datagram.index()));
         std::visit(
             [&archive](auto message) {
-                cutToLimits(message);
+                truncateToLimits(message);
                 archive(message);
             },
             datagram);
     }
-    const auto code = key.mac({ datagramLabel, bytes });
-    bytes.append(code.data(), code.size());
+    const auto mac = key.mac({ datagramLabel, bytes });
+    bytes.append(mac.data(), mac.size());
     return bytes;
 }
 
@@ -187,9 +187,9 @@
 {
     if (bytes.size() < macBytes)
         return PeerError::Unauthentic;
-    const std::string_view code = bytes.substr(bytes.size() - macBytes);
+    const std::string_view mac = bytes.substr(bytes.size() - macBytes);
     bytes.remove_suffix(macBytes);
-    if (!key.verify(code, { datagramLabel, bytes }))
+    if (!key.verify(mac, { datagramLabel, bytes }))
         return PeerError::Unauthentic;
     try {
         return decodePayload(bytes);
@@ -198,18 +198,18 @@
     }
 }
 
-std::vector<CellDigest> passedOn(const std::vector<CellSummary>& cells)
+std::vector<CellDigest> packDigests(const std::vector<CellSummary>& cells)
 {
     std::vector<CellDigest> digests;
-    std::size_t room = 0;
+    std::size_t freeBytes = 0;
     for (const CellSummary& cell : cells) {
         const std::size_t bytes = bytesOf(cell);
-        if (digests.empty() || bytes > room) {
+        if (digests.empty() || bytes > freeBytes) {
             digests.push_back({ {}, true });
-            room = frameBytes - macBytes;
+            freeBytes = frameBytes - macBytes;
         }
         digests.back().cells_.push_back(cell);
-        room -= std::min(room, bytes);
+        freeBytes -= std::min(freeBytes, bytes);
     }
     return digests;
 }
--- a/libs/serving/src/ReportMessages.h
+++ b/libs/serving/src/ReportMessages.h
@@ -20,7 +20,7 @@
 // A datagram of this size fits into one network frame, with room for tunnel headers.
 constexpr std::size_t frameBytes = 1400;
 // The largest datagram that is received. IP fragments datagrams that are larger than a frame.
-constexpr std::size_t mostDatagramBytes = 16 * 1024;
+constexpr std::size_t maxPeerDatagramBytes = 16 * 1024;
 
 // The load and state of a node as it reports them. A report replaces all earlier ones of the node.
 struct NodeReport {
@@ -30,17 +30,17 @@
     std::uint64_t configVersion_ = 0; // of the configuration that the node applies; 0: none
     std::uint64_t enginesVersion_ = 0; // of the last change of an engine's entry that the node has applied; 0: none
     bool watching_ = false; // the node follows the store itself, and the store answers it
-    bool keepsJobs_ = false; // the node has a disk and spools jobs on it while the store is unavailable
-    std::uint32_t keptJobs_ = 0; // number of jobs that are spooled on its disk
-    bool lostStore_ = false; // the node can't reach the store itself; peers may relay its calls
+    bool spoolsJobs_ = false; // the node has a disk and spools jobs on it while the store is unavailable
+    std::uint32_t spooledJobs_ = 0; // number of jobs that are spooled on its disk
+    bool isStoreUnreachable_ = false; // the node can't reach the store itself; peers may relay its calls
 };
 
 // Requests the preemption of a batch item: the sender sends an online request to an engine without free slots, where the receiver, or a
 // node of its cell, runs a batch item.
-struct GiveWay {
+struct PreemptRequest {
     NodeId from_;
     UpstreamId engine_;
-    bool isPassedOn_ = false; // forwarded by a delegate of the cell that runs the item
+    bool isForwarded_ = false; // forwarded by a delegate of the cell that runs the item
 };
 
 // A node of a cell that others rely on, because it runs jobs, follows the store or holds spooled jobs, or that needs an operator's
@@ -49,10 +49,10 @@
     NodeId node_;
     bool runsJobs_ = false;
     bool watching_ = false;
-    bool keepsJobs_ = false;
-    std::uint32_t keptJobs_ = 0;
+    bool spoolsJobs_ = false;
+    std::uint32_t spooledJobs_ = 0;
     bool isBehind_ = false; // the node applies an older configuration than the delegate
-    bool lostStore_ = false;
+    bool isStoreUnreachable_ = false;
 };
 
 // The load and state of a cell as one of its delegates sees them. A summary replaces all earlier ones of the cell.
@@ -69,10 +69,10 @@
 // its own cell.
 struct CellDigest {
     std::vector<CellSummary> cells_;
-    bool isPassedOn_ = false; // forwarded by a delegate to its own cell
+    bool isForwarded_ = false; // forwarded by a delegate to its own cell
 };
 
-using PeerDatagram = std::variant<NodeReport, GiveWay, CellDigest>;
+using PeerDatagram = std::variant<NodeReport, PreemptRequest, CellDigest>;
 
 std::string encode(const WireKey& key, const PeerDatagram& datagram);
 // Returns PeerError::Unauthentic or PeerError::Unreadable if the bytes can't be accepted.
@@ -80,6 +80,6 @@
 
 // Packs the summaries that a delegate forwards to its own cell into digests. Each digest fits into a frame unless a single summary is
 // larger.
-std::vector<CellDigest> passedOn(const std::vector<CellSummary>& cells);
+std::vector<CellDigest> packDigests(const std::vector<CellSummary>& cells);
 
 } // namespace jj
--- a/libs/serving/src/ReportPace.cpp
+++ b/libs/serving/src/ReportPace.cpp
@@ -7,16 +7,16 @@
 
 void ReportPace::tick(TimePoint now)
 {
-    const Duration since = now - judgedAt_;
-    if (since < settings_.judgedEvery_)
+    const Duration since = now - adjustedAt_;
+    if (since < settings_.adjustPeriod_)
         return;
-    const double rate = heard_ / toSeconds(since);
-    if (rate > settings_.mostHeard_)
-        interval_ = std::min<Duration>(interval_ + settings_.step_, settings_.longest_);
-    else if (rate < settings_.mostHeard_ * settings_.easyPart_)
-        interval_ = std::max<Duration>(interval_ - settings_.step_, Duration::zero());
-    heard_ = 0;
-    judgedAt_ = now;
+    const double rate = received_ / toSeconds(since);
+    if (rate > settings_.maxReceivedPerSecond_)
+        interval_ = std::min<Duration>(interval_ + settings_.intervalStep_, settings_.maxInterval_);
+    else if (rate < settings_.maxReceivedPerSecond_ * settings_.speedUpFraction_)
+        interval_ = std::max<Duration>(interval_ - settings_.intervalStep_, Duration::zero());
+    received_ = 0;
+    adjustedAt_ = now;
 }
 
 } // namespace jj
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -199,15 +199,15 @@
         report.configVersion_ = config_->version();
         report.enginesVersion_ = catalog_->version();
         report.watching_ = feed_->isFollowing() && !store_->isUnreachable();
-        report.keepsJobs_ = takesCopies();
-        report.lostStore_ = store_->isDirectFailing();
-        report.keptJobs_ = spool_ ? static_cast<std::uint32_t>(spool_->size()) : 0;
+        report.spoolsJobs_ = takesCopies();
+        report.isStoreUnreachable_ = store_->isDirectFailing();
+        report.spooledJobs_ = spool_ ? static_cast<std::uint32_t>(spool_->size()) : 0;
         return report;
     };
     handlers.ownVersions_ = [this] { return KnownVersions { config_->version(), catalog_->version() }; };
     handlers.ownCell_ = [this] { return board_.ownCell(context_.now()); };
-    handlers.onReport_ = [this](const NodeReport& report, bool isMate) {
-        if (isMate) {
+    handlers.onReport_ = [this](const NodeReport& report, bool isSameCell) {
+        if (isSameCell) {
             board_.applyReport(report.use_, context_.now());
             queue_->mayHaveRoom();
         }
@@ -218,7 +218,7 @@
         queue_->mayHaveRoom();
         versionsHeard({ summary.configVersion_, summary.enginesVersion_ });
     };
-    handlers.onGiveWay_ = [this](const GiveWay& ask) { onGiveWay(ask); };
+    handlers.onPreemptRequest_ = [this](const PreemptRequest& request) { onGiveWay(request); };
     handlers.onCellsChanged_ = [this] {
         std::vector<CellId> others = fleet_->cells().cells();
         std::erase(others, fleet_->ownCell());
@@ -230,7 +230,7 @@
         log_.line("crashMarkLearned").with("mark", mark.value());
         context_.suspects_.addPeerMark(mark, remaining, context_.now());
     };
-    handlers.onGone_ = [this](NodeId node) {
+    handlers.onNodeDown_ = [this](NodeId node) {
         board_.dropNodeReport(node);
         // A node that runs no jobs owns none, so its loss requires no scan.
         const Peer* peer = fleet_->peer(node);
@@ -254,7 +254,7 @@
     outlets.stop_ = [this](RunId run) { runner_->stop(run); };
     outlets.transfer_ = [this](NodeId to, JobTransfer job) {
         const std::string name = job.job_;
-        fleet_->ask(to, AdoptAsk { std::move(job) }, transferBound, [this, name](const Result<PeerReply>& reply) {
+        fleet_->request(to, AdoptRequest { std::move(job) }, transferBound, [this, name](const Result<PeerReply>& reply) {
             if (!reply)
                 log_.line("transferLost").with("job", name).with("error", reply.error().message());
         });
@@ -322,7 +322,7 @@
     // of an outage, because no peer has reported its spooled jobs yet.
     constexpr Duration broughtWithin = 5s;
     const bool wasAway = store_->isUnreachable() || context_.now() - store_->reachableSince() < broughtWithin;
-    return wasAway || (spool_ && spool_->size() > 0) || fleet_->anyKeepsJobs();
+    return wasAway || (spool_ && spool_->size() > 0) || fleet_->hasPeerWithSpooledJobs();
 }
 
 std::size_t ServingNode::Parts::callerConnections() const
--- a/libs/serving/src/ServingParts.h
+++ b/libs/serving/src/ServingParts.h
@@ -56,7 +56,7 @@
     EngineEntry inCell(EngineEntry entry) const;
     // Handles a report that a peer has these versions.
     void versionsHeard(KnownVersions versions);
-    void onGiveWay(const GiveWay& ask);
+    void onGiveWay(const PreemptRequest& request);
     NodeId updateSource();
     void chooseWatching();
     // Handles a retirement or a cancellation mark that this node found by watching the store, and notifies the hosts in its region
@@ -72,7 +72,7 @@
     void beginDrain();
     void continueDrain(TimePoint now);
     NodeId anyPeer(bool ownRegionFirst);
-    void answerUpdateRequest(const UpdateRequest& ask, const std::function<void(PeerReply)>& reply);
+    void answerUpdateRequest(const UpdateRequest& request, const std::function<void(PeerReply)>& reply);
 
     ServingSettings settings_;
     const Translation& translation_;
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -198,7 +198,7 @@
     if (peer.isNone())
         return false;
     const bool isWrite = call.isWrite();
-    fleet_->ask(peer, StoreAsk { call }, bound, [isWrite, done = std::move(done)](Result<PeerReply> reply) {
+    fleet_->request(peer, StoreRequest { call }, bound, [isWrite, done = std::move(done)](Result<PeerReply> reply) {
         if (reply) {
             if (auto* answer = std::get_if<ObjectAnswer>(&reply.value()))
                 return done(std::move(*answer));
@@ -217,14 +217,14 @@
 
 // Nodes of other cells know only the delegates of this cell and send their requests to those. A delegate that runs no item on the
 // engine forwards the request to a node of its cell that does.
-void ServingNode::Parts::onGiveWay(const GiveWay& ask)
+void ServingNode::Parts::onGiveWay(const PreemptRequest& request)
 {
-    if (runner_->giveWay(ask.engine_, context_.now()) || ask.isPassedOn_)
+    if (runner_->giveWay(request.engine_, context_.now()) || request.isForwarded_)
         return;
-    for (const NodeId holder : board_.nodesRunningBatch(ask.engine_)) {
-        const auto& mates = fleet_->mates();
-        if (std::find(mates.begin(), mates.end(), holder) != mates.end())
-            return fleet_->passOnGiveWay(ask, holder);
+    for (const NodeId holder : board_.nodesRunningBatch(request.engine_)) {
+        const auto& cellNodes = fleet_->cellNodes();
+        if (std::find(cellNodes.begin(), cellNodes.end(), holder) != cellNodes.end())
+            return fleet_->forwardPreemptRequest(request, holder);
     }
 }
 
@@ -245,7 +245,7 @@
         return;
     updateRequested_ = true;
     updateAgainAt_ = neverTime;
-    fleet_->ask(peer, UpdateRequest { config_->version(), catalog_->version() }, updateBound, [this, peer](const Result<PeerReply>& reply) {
+    fleet_->request(peer, UpdateRequest { config_->version(), catalog_->version() }, updateBound, [this, peer](const Result<PeerReply>& reply) {
         updateRequested_ = false;
         const auto* update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
         if (!update || update->isBusy_) {
@@ -260,7 +260,7 @@
     });
 }
 
-void ServingNode::Parts::answerUpdateRequest(const UpdateRequest& ask, const std::function<void(PeerReply)>& reply)
+void ServingNode::Parts::answerUpdateRequest(const UpdateRequest& request, const std::function<void(PeerReply)>& reply)
 {
     const TimePoint now = context_.now();
     if (!updateBudget_.mayAnswer(now)) {
@@ -269,9 +269,9 @@
         return reply(busy);
     }
     UpdateReply update;
-    if (config_->version() > ask.configVersion_)
+    if (config_->version() > request.configVersion_)
         update.config_ = config_->value();
-    update.engines_ = catalog_->updateSince(ask.enginesVersion_, now);
+    update.engines_ = catalog_->updateSince(request.enginesVersion_, now);
     updateBudget_.recordSent(update.config_.size() + update.engines_.bytes(), now);
     reply(std::move(update));
 }
@@ -311,7 +311,7 @@
 
 void ServingNode::Parts::notifyWorker(NodeId worker, const std::string& key, int tries)
 {
-    fleet_->ask(worker, FoundObject { key }, updateBound, [this, worker, key, tries](const Result<PeerReply>& reply) {
+    fleet_->request(worker, ObjectNotice { key }, updateBound, [this, worker, key, tries](const Result<PeerReply>& reply) {
         if (!reply && tries + 1 < mostNotices)
             notifyWorker(worker, key, tries + 1);
     });
@@ -336,34 +336,34 @@
 void ServingNode::Parts::onPeerCall(PeerCall call, const std::function<void(PeerReply)>& reply)
 {
     const TimePoint now = context_.now();
-    if (auto* ask = std::get_if<StoreAsk>(&call)) {
+    if (auto* request = std::get_if<StoreRequest>(&call)) {
         store_->countPeerCall();
-        return store_->sendDirect(ask->call_, [reply](ObjectAnswer answer) { reply(std::move(answer)); });
+        return store_->sendDirect(request->call_, [reply](ObjectAnswer answer) { reply(std::move(answer)); });
     }
-    if (const auto* ask = std::get_if<UpdateRequest>(&call))
-        return answerUpdateRequest(*ask, reply);
-    if (auto* ask = std::get_if<AdoptAsk>(&call)) {
-        scheduler_->adopt(std::move(ask->job_), now, SystemClock().wallNow());
+    if (const auto* request = std::get_if<UpdateRequest>(&call))
+        return answerUpdateRequest(*request, reply);
+    if (auto* request = std::get_if<AdoptRequest>(&call)) {
+        scheduler_->adopt(std::move(request->job_), now, SystemClock().wallNow());
         runner_->pump(now);
         return reply(AdoptReply { true });
     }
-    if (const auto* ask = std::get_if<ReadAsk>(&call))
-        return scheduler_->read(ask->job_, ask->after_, std::chrono::milliseconds(ask->waitMs_), false, now, [reply](ReadAnswer answer) { reply(std::move(answer)); });
-    if (const auto* ask = std::get_if<BodyAsk>(&call))
-        return scheduler_->body(ask->job_, ask->item_, false, now, [reply](BodyAnswer answer) { reply(std::move(answer)); });
-    if (const auto* ask = std::get_if<KeepAsk>(&call))
-        return reply(KeepReply { takesCopies() ? spool_->storeCopy(ask->job_, now) : SpoolOutcome::Refused });
-    if (const auto* ask = std::get_if<ForgetAsk>(&call)) {
+    if (const auto* request = std::get_if<ReadRequest>(&call))
+        return scheduler_->read(request->job_, request->after_, std::chrono::milliseconds(request->waitMs_), false, now, [reply](ReadAnswer answer) { reply(std::move(answer)); });
+    if (const auto* request = std::get_if<BodyRequest>(&call))
+        return scheduler_->body(request->job_, request->item_, false, now, [reply](BodyAnswer answer) { reply(std::move(answer)); });
+    if (const auto* request = std::get_if<SpoolRequest>(&call))
+        return reply(SpoolReply { takesCopies() ? spool_->storeCopy(request->job_, now) : SpoolOutcome::Refused });
+    if (const auto* request = std::get_if<DropSpooledRequest>(&call)) {
         if (spool_)
-            spool_->discardCopy(ask->job_);
-        return reply(KeepReply { SpoolOutcome::Refused });
+            spool_->discardCopy(request->job_);
+        return reply(SpoolReply { SpoolOutcome::Refused });
     }
-    if (const auto* found = std::get_if<FoundObject>(&call)) {
+    if (const auto* found = std::get_if<ObjectNotice>(&call)) {
         meetObject(found->key_);
         return reply(AdoptReply { true });
     }
-    const auto& ask = std::get<EndAsk>(call);
-    scheduler_->end(ask.job_, false, now, [reply](CancelAnswer answer) { reply(answer); });
+    const auto& request = std::get<CancelJobRequest>(call);
+    scheduler_->end(request.job_, false, now, [reply](CancelAnswer answer) { reply(answer); });
 }
 
 // ---- signals and shutdown
--- a/libs/serving/src/SlotQueue.cpp
+++ b/libs/serving/src/SlotQueue.cpp
@@ -107,8 +107,8 @@
 std::size_t SlotQueue::nodesAhead(const std::string& service, UpstreamId engine, bool isInTime) const
 {
     const std::uint64_t own = mixHash(engine.value(), context_.fleet_->self().value());
-    const std::vector<NodeId>& mates = context_.fleet_->mates();
-    return static_cast<std::size_t>(std::count_if(mates.begin(), mates.end(), [&](NodeId node) {
+    const std::vector<NodeId>& cellNodes = context_.fleet_->cellNodes();
+    return static_cast<std::size_t>(std::count_if(cellNodes.begin(), cellNodes.end(), [&](NodeId node) {
         const WaitingRequests waiting = context_.board_.waitingAt(node, service);
         const bool isBefore = mixHash(engine.value(), node.value()) < own;
         return isInTime ? waiting.inTime_ > 0 && isBefore : waiting.inTime_ > 0 || (waiting.count_ > 0 && isBefore);
--- a/libs/serving/tests/CatalogFleetTest.cpp
+++ b/libs/serving/tests/CatalogFleetTest.cpp
@@ -65,8 +65,8 @@
         begin(hostIndex);
     }
     // Cuts the host off without the other hosts noticing.
-    void setCut(std::size_t hostIndex, bool isCut) { fleet_.node(hostIndex).isCut_ = isCut; }
-    bool isCut(std::size_t hostIndex) { return fleet_.node(hostIndex).isCut_; }
+    void setCut(std::size_t hostIndex, bool isCut) { fleet_.node(hostIndex).isIsolated_ = isCut; }
+    bool isCut(std::size_t hostIndex) { return fleet_.node(hostIndex).isIsolated_; }
     std::size_t size() const { return hosts_.size(); }
 
     // Returns the number of hosts whose set of engines differs from the store's.
@@ -138,7 +138,7 @@
         const bool watches = isWatcher(hostIndex);
         if (watches && now - host.watchedAt_ >= watchPeriod)
             watch(hostIndex);
-        if (!host.node_.catalog_.tryAdvanceTo(host.lag_.version()) && host.lag_.mustAskAgain(!watches, now) && !watches)
+        if (!host.node_.catalog_.tryAdvanceTo(host.lag_.version()) && host.lag_.mustRequest(!watches, now) && !watches)
             requestUpdate(hostIndex);
     }
 
@@ -159,7 +159,7 @@
     void receiveVersion(std::size_t hostIndex, std::uint64_t version)
     {
         Host& host = *hosts_[hostIndex];
-        if (!host.node_.catalog_.tryAdvanceTo(version) && host.lag_.mustAsk(version, !isWatcher(hostIndex), fleet_.now()))
+        if (!host.node_.catalog_.tryAdvanceTo(version) && host.lag_.recordPeerVersion(version, !isWatcher(hostIndex), fleet_.now()))
             requestUpdate(hostIndex);
     }
 
@@ -180,7 +180,7 @@
         ++requests_;
         host.isRequestInFlight_ = true;
         const std::uint64_t since = host.node_.catalog_.version();
-        fleet_.after(callTime, [this, hostIndex, process = host.process_, from = fleet_.placeOf(source), since] { answer(hostIndex, process, from, since); });
+        fleet_.schedule(callTime, [this, hostIndex, process = host.process_, from = fleet_.indexOf(source), since] { answer(hostIndex, process, from, since); });
     }
 
     void answer(std::size_t hostIndex, std::uint64_t process, std::size_t from, std::uint64_t since)
@@ -191,7 +191,7 @@
             update = source.node_.catalog_.updateSince(since, fleet_.now());
             source.budget_.recordSent(update->bytes(), fleet_.now());
         }
-        fleet_.after(callTime, [this, hostIndex, process, update = std::move(update)] {
+        fleet_.schedule(callTime, [this, hostIndex, process, update = std::move(update)] {
             Host& host = *hosts_[hostIndex];
             if (host.process_ != process)
                 return;
@@ -215,7 +215,7 @@
 {
     FleetShape shape;
     shape.nodes_ = nodes;
-    shape.domainsOfRegion_ = nodes > 100 ? 3 : 1;
+    shape.domainsPerRegion_ = nodes > 100 ? 3 : 1;
     shape.engines_ = 20;
     shape.loss_ = 0.02;
     return shape;
--- a/libs/serving/tests/CellsTest.cpp
+++ b/libs/serving/tests/CellsTest.cpp
@@ -145,7 +145,7 @@
     const auto before = cells.delegates(cell);
     REQUIRE(before.size() == 2);
     for (CellMember& one : nodes)
-        one.leaves_ = one.node_ == before.front();
+        one.isLeaving_ = one.node_ == before.front();
     CHECK(cells.rebuild(nodes).nodes_);
     const auto after = cells.delegates(cell);
     REQUIRE(after.size() == 2);
--- a/libs/serving/tests/EngineCatalogTest.cpp
+++ b/libs/serving/tests/EngineCatalogTest.cpp
@@ -89,7 +89,7 @@
     watcher.put("a", "draining", at(20));
     watcher.remove("b", at(21), start, {});
     const EngineUpdate update = watcher.catalog_.updateSince(peer.catalog_.version(), start);
-    CHECK_FALSE(update.isWhole_);
+    CHECK_FALSE(update.isFullState_);
     CHECK(update.entries_.size() == 1);
     CHECK(update.removed_ == std::vector<std::string> { "b" });
     peer.catalog_.applyUpdate(update, "watcher", start);
--- a/libs/serving/tests/EngineHistoryTest.cpp
+++ b/libs/serving/tests/EngineHistoryTest.cpp
@@ -301,7 +301,7 @@
     Node watcher;
     watcher.list({ { "a", at(10), 5, "ready" }, { "b", at(11), 5, "ready" }, { "c", at(20), 5, "ready" } }, at(30));
     const EngineUpdate update = watcher.catalog_.updateSince(11, start);
-    CHECK(update.isWhole_);
+    CHECK(update.isFullState_);
     REQUIRE(update.entries_.size() == 1);
     CHECK(update.entries_.front().key_ == "c");
     CHECK(update.unchanged_ == std::vector<std::string> { "a", "b" });
--- a/libs/serving/tests/ExchangeFleet.h
+++ b/libs/serving/tests/ExchangeFleet.h
@@ -19,7 +19,7 @@
 struct FleetShape {
     std::size_t nodes_ = 300;
     std::size_t regions_ = 2;
-    std::size_t domainsOfRegion_ = 3;
+    std::size_t domainsPerRegion_ = 3;
     std::size_t engines_ = 160;
     double loss_ = 0.01;
     double changesPerSecond_ = 0; // of the load of each node
@@ -36,7 +36,7 @@
         KnownVersions versions_;
         std::uint64_t datagrams_ = 0; // number of received datagrams
         std::uint64_t bytes_ = 0;
-        bool isCut_ = false; // receives and sends nothing
+        bool isIsolated_ = false; // receives and sends nothing
     };
 
     ExchangeFleet(const FleetShape& shape, std::uint64_t seed)
@@ -44,20 +44,20 @@
         , random_(seed)
         , key_(WireKey::fromHex(std::string(64, '0')).value())
     {
-        for (std::size_t place = 0; place < shape.nodes_; ++place)
-            addNode(place);
+        for (std::size_t index = 0; index < shape.nodes_; ++index)
+            addNode(index);
         for (const auto& node : nodes_)
-            introduce(*node);
+            announce(*node);
     }
 
     // Called when a node receives a report or summary that states the versions of a peer. If it isn't set, the node counts as having
     // applied all changes up to these versions.
-    std::function<void(std::size_t place, KnownVersions)> onVersions_;
+    std::function<void(std::size_t index, KnownVersions)> onVersions_;
     // Called every 20 ms for each node that isn't isolated.
-    std::function<void(std::size_t place)> onTick_;
+    std::function<void(std::size_t index)> onTick_;
 
     // Runs `work` after `delay`.
-    void after(Duration delay, std::function<void()> work) { later_.emplace(now_ + delay, std::move(work)); }
+    void schedule(Duration delay, std::function<void()> work) { scheduled_.emplace(now_ + delay, std::move(work)); }
 
     void advance(Duration time)
     {
@@ -66,31 +66,31 @@
         for (const TimePoint end = now_ + time; now_ < end;) {
             now_ += step;
             deliver();
-            runLater();
-            for (std::size_t place = 0; place < nodes_.size(); ++place) {
-                Node& node = *nodes_[place];
-                if (node.isCut_)
+            runScheduled();
+            for (std::size_t index = 0; index < nodes_.size(); ++index) {
+                Node& node = *nodes_[index];
+                if (node.isIsolated_)
                     continue;
-                change(node);
-                const bool isTick = (now_ - TimePoint() + step * static_cast<Duration::rep>(place)) % tickPeriod == Duration::zero();
+                changeLoad(node);
+                const bool isTick = (now_ - TimePoint() + step * static_cast<Duration::rep>(index)) % tickPeriod == Duration::zero();
                 if (!isTick) {
                     node.exchange_->sendPending(now_);
                     continue;
                 }
                 node.exchange_->tick(now_);
                 if (onTick_)
-                    onTick_(place);
+                    onTick_(index);
             }
         }
     }
 
-    void stopChanges() { shape_.changesPerSecond_ = 0; }
+    void stopLoadChanges() { shape_.changesPerSecond_ = 0; }
 
     // Isolates or reconnects the node, and notifies all other nodes of its new state immediately.
-    void setLive(std::size_t place, bool isLive)
+    void setLive(std::size_t index, bool isLive)
     {
-        Node& node = *nodes_[place];
-        node.isCut_ = !isLive;
+        Node& node = *nodes_[index];
+        node.isIsolated_ = !isLive;
         ++incarnation_;
         for (const auto& other : nodes_) {
             if (other.get() != &node)
@@ -99,66 +99,66 @@
     }
 
     // Replaces the process at the address of the node by a new one, which knows all other nodes that aren't isolated.
-    void restart(std::size_t place)
+    void restart(std::size_t index)
     {
-        Node& node = *nodes_[place];
+        Node& node = *nodes_[index];
         node.self_.incarnation_ = Incarnation(node.self_.incarnation_.value() + 1);
         node.versions_ = {};
-        build(node, place);
+        build(node, index);
         for (const auto& other : nodes_) {
-            if (other.get() != &node && !other->isCut_)
+            if (other.get() != &node && !other->isIsolated_)
                 node.peers_->apply(rumorOf(*other, MemberState::Alive), now_);
         }
-        setLive(place, true);
+        setLive(index, true);
     }
 
-    Node& node(std::size_t place) { return *nodes_[place]; }
-    const Node& node(std::size_t place) const { return *nodes_[place]; }
-    std::size_t placeOf(NodeId node) const { return places_.at(node); }
+    Node& node(std::size_t index) { return *nodes_[index]; }
+    const Node& node(std::size_t index) const { return *nodes_[index]; }
+    std::size_t indexOf(NodeId node) const { return indices_.at(node); }
     std::mt19937_64& random() { return random_; }
     std::size_t size() const { return nodes_.size(); }
     TimePoint now() const { return now_; }
-    UpstreamId engine(std::size_t place) const { return UpstreamId(mixHash(99, place)); }
+    UpstreamId engine(std::size_t index) const { return UpstreamId(mixHash(99, index)); }
 
     // Returns the number of online requests that all nodes run on the engine.
-    std::uint32_t questionsOn(UpstreamId engine) const
+    std::uint32_t onlineRequestsOn(UpstreamId engine) const
     {
         std::uint32_t sum = 0;
         for (const auto& node : nodes_)
-            sum += ownQuestions(*node, engine);
+            sum += ownOnlineRequests(*node, engine);
         return sum;
     }
 
 private:
-    struct Flight {
+    struct InFlight {
         TimePoint at_;
         std::uint64_t order_;
         std::size_t to_;
         std::string bytes_;
 
-        friend bool operator<(const Flight& left, const Flight& right) { return std::pair(left.at_, left.order_) > std::pair(right.at_, right.order_); }
+        friend bool operator<(const InFlight& left, const InFlight& right) { return std::pair(left.at_, left.order_) > std::pair(right.at_, right.order_); }
     };
 
-    void addNode(std::size_t place)
+    void addNode(std::size_t index)
     {
         auto node = std::make_unique<Node>();
-        const std::size_t region = place % shape_.regions_;
-        const std::size_t domain = place / shape_.regions_ % shape_.domainsOfRegion_;
-        node->at_ = { static_cast<std::uint32_t>(0x0a000000 + place), 7000 };
-        node->self_ = { nodeIdOf(node->at_), RegionId(static_cast<std::uint32_t>(region)), FailureDomainId(static_cast<std::uint32_t>(region * 100 + domain)), Incarnation(1), place % 7 == 0 };
-        places_[node->self_.node_] = place;
-        build(*node, place);
+        const std::size_t region = index % shape_.regions_;
+        const std::size_t domain = index / shape_.regions_ % shape_.domainsPerRegion_;
+        node->at_ = { static_cast<std::uint32_t>(0x0a000000 + index), 7000 };
+        node->self_ = { nodeIdOf(node->at_), RegionId(static_cast<std::uint32_t>(region)), FailureDomainId(static_cast<std::uint32_t>(region * 100 + domain)), Incarnation(1), index % 7 == 0 };
+        indices_[node->self_.node_] = index;
+        build(*node, index);
         nodes_.push_back(std::move(node));
     }
 
-    void build(Node& node, std::size_t place)
+    void build(Node& node, std::size_t index)
     {
         node.peers_ = std::make_unique<PeerTable>(node.self_.region_);
-        node.board_ = std::make_unique<CapacityBoard>(CapacitySettings(), node.self_.node_, HostLocation { CellId::none(), node.self_.region_, node.self_.domain_ }, place);
-        node.exchange_ = std::make_unique<ReportExchange>(node.self_, *node.peers_, outletsOf(node, place));
+        node.board_ = std::make_unique<CapacityBoard>(CapacitySettings(), node.self_.node_, HostLocation { CellId::none(), node.self_.region_, node.self_.domain_ }, index);
+        node.exchange_ = std::make_unique<ReportExchange>(node.self_, *node.peers_, outletsOf(node, index));
     }
 
-    ExchangeOutlets outletsOf(Node& node, std::size_t place)
+    ExchangeOutlets outletsOf(Node& node, std::size_t index)
     {
         ExchangeOutlets outlets;
         outlets.ownReport_ = [this, &node] {
@@ -170,46 +170,46 @@
         };
         outlets.ownVersions_ = [&node] { return node.versions_; };
         outlets.ownCell_ = [this, &node] { return node.board_->ownCell(now_); };
-        outlets.onReport_ = [this, &node, place](const NodeReport& report, bool isMate) {
-            if (isMate)
+        outlets.onReport_ = [this, &node, index](const NodeReport& report, bool isSameCell) {
+            if (isSameCell)
                 node.board_->applyReport(report.use_, now_);
-            hear(place, { report.configVersion_, report.enginesVersion_ });
+            applyVersions(index, { report.configVersion_, report.enginesVersion_ });
         };
-        outlets.onCell_ = [this, &node, place](const CellSummary& summary, TimePoint at) {
+        outlets.onCell_ = [this, &node, index](const CellSummary& summary, TimePoint at) {
             node.board_->applyCellReport(summary.use_, at);
-            hear(place, { summary.configVersion_, summary.enginesVersion_ });
+            applyVersions(index, { summary.configVersion_, summary.enginesVersion_ });
         };
-        outlets.onCellsChanged_ = [this, &node] { placeEngines(node); };
+        outlets.onCellsChanged_ = [this, &node] { upsertEngines(node); };
         outlets.send_ = [this, &node](std::span<const PeerAddress> receivers, const PeerDatagram& datagram) {
             const std::string bytes = encode(key_, datagram);
             for (const PeerAddress& receiver : receivers)
-                send(node, places_.at(nodeIdOf(receiver)), bytes);
+                send(node, indices_.at(nodeIdOf(receiver)), bytes);
         };
         return outlets;
     }
 
-    void hear(std::size_t place, KnownVersions versions)
+    void applyVersions(std::size_t index, KnownVersions versions)
     {
         if (onVersions_)
-            return onVersions_(place, versions);
-        Node& node = *nodes_[place];
+            return onVersions_(index, versions);
+        Node& node = *nodes_[index];
         node.versions_.config_ = std::max(node.versions_.config_, versions.config_);
         node.versions_.engines_ = std::max(node.versions_.engines_, versions.engines_);
     }
 
-    void placeEngines(Node& node)
+    void upsertEngines(Node& node)
     {
         std::vector<CellId> others = node.exchange_->cells().cells();
         std::erase(others, node.exchange_->ownCell());
         node.board_->setCells(node.exchange_->ownCell(), others);
-        for (std::size_t place = 0; place < shape_.engines_; ++place) {
+        for (std::size_t index = 0; index < shape_.engines_; ++index) {
             EngineEntry entry;
-            entry.id_ = engine(place);
+            entry.id_ = engine(index);
             entry.service_ = "s";
             entry.slots_ = 8;
-            const std::size_t region = place % shape_.regions_;
+            const std::size_t region = index % shape_.regions_;
             entry.region_ = RegionId(static_cast<std::uint32_t>(region));
-            entry.domain_ = FailureDomainId(static_cast<std::uint32_t>(region * 100 + place / shape_.regions_ % shape_.domainsOfRegion_));
+            entry.domain_ = FailureDomainId(static_cast<std::uint32_t>(region * 100 + index / shape_.regions_ % shape_.domainsPerRegion_));
             entry.cell_ = node.exchange_->cells().cellOf(entry.region_, entry.domain_, entry.id_.value());
             node.board_->upsert(entry);
         }
@@ -227,7 +227,7 @@
         return rumor;
     }
 
-    void introduce(const Node& node)
+    void announce(const Node& node)
     {
         for (const auto& other : nodes_) {
             if (other.get() != &node)
@@ -237,55 +237,55 @@
 
     void send(const Node& from, std::size_t to, const std::string& bytes)
     {
-        if (from.isCut_ || std::bernoulli_distribution(shape_.loss_)(random_))
+        if (from.isIsolated_ || std::bernoulli_distribution(shape_.loss_)(random_))
             return;
         const bool isNear = from.self_.region_ == nodes_[to]->self_.region_;
         const Duration delay = (isNear ? 1ms : 12ms) + std::chrono::milliseconds(std::uniform_int_distribution<int>(0, 3)(random_));
-        flights_.push({ now_ + delay, ++order_, to, bytes });
+        inFlight_.push({ now_ + delay, ++order_, to, bytes });
     }
 
     void deliver()
     {
-        while (!flights_.empty() && flights_.top().at_ <= now_) {
-            const Flight flight = flights_.top();
-            flights_.pop();
+        while (!inFlight_.empty() && inFlight_.top().at_ <= now_) {
+            const InFlight flight = inFlight_.top();
+            inFlight_.pop();
             Node& node = *nodes_[flight.to_];
-            if (node.isCut_)
+            if (node.isIsolated_)
                 continue;
             ++node.datagrams_;
             node.bytes_ += flight.bytes_.size();
             const auto datagram = decodeDatagram(key_, flight.bytes_);
             if (const auto* digest = std::get_if<CellDigest>(&datagram.value()))
-                node.exchange_->received(*digest, now_);
+                node.exchange_->handle(*digest, now_);
             else
-                node.exchange_->received(std::get<NodeReport>(datagram.value()), now_);
+                node.exchange_->handle(std::get<NodeReport>(datagram.value()), now_);
         }
     }
 
-    void runLater()
+    void runScheduled()
     {
-        while (!later_.empty() && later_.begin()->first <= now_) {
-            const std::function<void()> work = std::move(later_.begin()->second);
-            later_.erase(later_.begin());
+        while (!scheduled_.empty() && scheduled_.begin()->first <= now_) {
+            const std::function<void()> work = std::move(scheduled_.begin()->second);
+            scheduled_.erase(scheduled_.begin());
             work();
         }
     }
 
     // Starts or ends an online request on a random engine of any cell, with the configured rate.
-    void change(Node& node)
+    void changeLoad(Node& node)
     {
         constexpr double stepSeconds = 0.005;
         if (shape_.changesPerSecond_ <= 0 || !std::bernoulli_distribution(shape_.changesPerSecond_ * stepSeconds)(random_))
             return;
         const UpstreamId id = engine(std::uniform_int_distribution<std::size_t>(0, shape_.engines_ - 1)(random_));
-        if (ownQuestions(node, id) > 0)
+        if (ownOnlineRequests(node, id) > 0)
             node.board_->ended(id, WorkClass::OnlineRequest);
         else
             node.board_->started(id, WorkClass::OnlineRequest);
         node.exchange_->publish();
     }
 
-    std::uint32_t ownQuestions(const Node& node, UpstreamId engine) const
+    std::uint32_t ownOnlineRequests(const Node& node, UpstreamId engine) const
     {
         for (const EngineUse& use : node.board_->ownUse(now_).uses_) {
             if (use.engine_ == engine)
@@ -301,9 +301,9 @@
     std::uint64_t incarnation_ = 1;
     std::uint64_t order_ = 0;
     std::vector<std::unique_ptr<Node>> nodes_;
-    std::map<NodeId, std::size_t> places_;
-    std::priority_queue<Flight> flights_;
-    std::multimap<TimePoint, std::function<void()>> later_;
+    std::map<NodeId, std::size_t> indices_;
+    std::priority_queue<InFlight> inFlight_;
+    std::multimap<TimePoint, std::function<void()>> scheduled_;
 };
 
 } // namespace jj
--- a/libs/serving/tests/PeerLagTest.cpp
+++ b/libs/serving/tests/PeerLagTest.cpp
@@ -10,11 +10,11 @@
     const FollowerTimes times;
     const TimePoint start = TimePoint {} + 10s;
     PeerLag lag(times);
-    CHECK(lag.mustAsk(5, true, start));
-    CHECK_FALSE(lag.mustAsk(5, true, start));
-    CHECK_FALSE(lag.mustAsk(6, true, start + 1ms));
-    CHECK_FALSE(lag.mustAskAgain(true, start + times.minRequestInterval_ - 1ms));
-    CHECK(lag.mustAskAgain(true, start + times.minRequestInterval_));
+    CHECK(lag.recordPeerVersion(5, true, start));
+    CHECK_FALSE(lag.recordPeerVersion(5, true, start));
+    CHECK_FALSE(lag.recordPeerVersion(6, true, start + 1ms));
+    CHECK_FALSE(lag.mustRequest(true, start + times.minRequestInterval_ - 1ms));
+    CHECK(lag.mustRequest(true, start + times.minRequestInterval_));
     CHECK(lag.version() == 6);
 }
 
@@ -23,7 +23,7 @@
     const FollowerTimes times;
     const TimePoint start = TimePoint {} + 10s;
     PeerLag lag(times);
-    CHECK_FALSE(lag.mustAsk(5, false, start));
-    CHECK_FALSE(lag.mustAskAgain(false, start + times.maxLag_ - 1ms));
-    CHECK(lag.mustAskAgain(false, start + times.maxLag_));
+    CHECK_FALSE(lag.recordPeerVersion(5, false, start));
+    CHECK_FALSE(lag.mustRequest(false, start + times.maxLag_ - 1ms));
+    CHECK(lag.mustRequest(false, start + times.maxLag_));
 }
--- a/libs/serving/tests/ReportExchangeTest.cpp
+++ b/libs/serving/tests/ReportExchangeTest.cpp
@@ -10,34 +10,34 @@
 namespace {
 
 // Returns the number of datagrams that a node receives per second, as the mean of all nodes.
-double heardPerSecond(std::size_t nodes, std::size_t domains)
+double receivedPerSecond(std::size_t nodes, std::size_t domains)
 {
     constexpr Duration measured = 2s;
     FleetShape shape;
     shape.nodes_ = nodes;
-    shape.domainsOfRegion_ = domains;
+    shape.domainsPerRegion_ = domains;
     shape.changesPerSecond_ = 6;
     ExchangeFleet fleet(shape, 3);
     fleet.advance(1s);
     std::uint64_t before = 0;
-    for (std::size_t place = 0; place < fleet.size(); ++place)
-        before += fleet.node(place).datagrams_;
+    for (std::size_t index = 0; index < fleet.size(); ++index)
+        before += fleet.node(index).datagrams_;
     fleet.advance(measured);
     std::uint64_t after = 0;
-    for (std::size_t place = 0; place < fleet.size(); ++place)
-        after += fleet.node(place).datagrams_;
+    for (std::size_t index = 0; index < fleet.size(); ++index)
+        after += fleet.node(index).datagrams_;
     return static_cast<double>(after - before) / toSeconds(measured) / static_cast<double>(nodes);
 }
 
 // Checks that every node counts the same load on each engine as all nodes together run there.
 void checkAllAgree(ExchangeFleet& fleet, std::size_t engines)
 {
-    for (std::size_t place = 0; place < engines; ++place) {
-        const UpstreamId engine = fleet.engine(place);
-        const std::uint32_t questions = fleet.questionsOn(engine);
+    for (std::size_t index = 0; index < engines; ++index) {
+        const UpstreamId engine = fleet.engine(index);
+        const std::uint32_t onlineRequests = fleet.onlineRequestsOn(engine);
         for (std::size_t at = 0; at < fleet.size(); ++at) {
-            if (!fleet.node(at).isCut_)
-                CHECK(fleet.node(at).board_->useOf(engine).onlineRequests_ == questions);
+            if (!fleet.node(at).isIsolated_)
+                CHECK(fleet.node(at).board_->useOf(engine).onlineRequests_ == onlineRequests);
         }
     }
 }
@@ -48,11 +48,11 @@
 // times a second, and each change is reported within the cell only.
 TEST_CASE("exchange: the datagrams that a node receives grow with its cell and the number of cells, not with the fleet")
 {
-    const double of100 = heardPerSecond(100, 1);
-    const double of300 = heardPerSecond(300, 3);
-    MESSAGE("datagrams per second and node: ", of100, " in a fleet of 100 nodes, ", of300, " in a fleet of 300");
-    CHECK(of100 > 250);
-    CHECK(of300 < 1.15 * of100);
+    const double rateOf100 = receivedPerSecond(100, 1);
+    const double rateOf300 = receivedPerSecond(300, 3);
+    MESSAGE("datagrams per second and node: ", rateOf100, " in a fleet of 100 nodes, ", rateOf300, " in a fleet of 300");
+    CHECK(rateOf100 > 250);
+    CHECK(rateOf300 < 1.15 * rateOf100);
 }
 
 TEST_CASE("exchange: 300 nodes agree on the load of all engines 1.5 s after the last change")
@@ -62,7 +62,7 @@
     shape.loss_ = 0.05;
     ExchangeFleet fleet(shape, 11);
     fleet.advance(2s);
-    fleet.stopChanges();
+    fleet.stopLoadChanges();
     fleet.advance(1500ms);
     checkAllAgree(fleet, shape.engines_);
 }
@@ -75,8 +75,8 @@
     fleet.node(17).exchange_->publish();
     fleet.advance(1s);
     std::size_t behind = 0;
-    for (std::size_t place = 0; place < fleet.size(); ++place)
-        behind += fleet.node(place).versions_.config_ < 9 ? 1 : 0;
+    for (std::size_t index = 0; index < fleet.size(); ++index)
+        behind += fleet.node(index).versions_.config_ < 9 ? 1 : 0;
     CHECK(behind == 0);
 }
 
@@ -91,19 +91,19 @@
     const CellId cell = fleet.node(0).exchange_->ownCell();
     const NodeId delegate = fleet.node(0).exchange_->cells().delegates(cell).front();
     std::size_t changed = fleet.size();
-    for (std::size_t place = 0; place < fleet.size(); ++place) {
-        ExchangeFleet::Node& node = fleet.node(place);
+    for (std::size_t index = 0; index < fleet.size(); ++index) {
+        ExchangeFleet::Node& node = fleet.node(index);
         if (node.self_.node_ == delegate)
-            node.isCut_ = true;
+            node.isIsolated_ = true;
         else if (changed == fleet.size() && node.exchange_->ownCell() == cell && node.exchange_->cells().delegates(cell).back() != node.self_.node_)
-            changed = place;
+            changed = index;
     }
     fleet.node(changed).board_->started(fleet.engine(1), WorkClass::OnlineRequest);
     fleet.node(changed).exchange_->publish();
     fleet.advance(1500ms);
-    for (std::size_t place = 0; place < fleet.size(); ++place) {
-        if (!fleet.node(place).isCut_)
-            CHECK(fleet.node(place).board_->useOf(fleet.engine(1)).onlineRequests_ == 1);
+    for (std::size_t index = 0; index < fleet.size(); ++index) {
+        if (!fleet.node(index).isIsolated_)
+            CHECK(fleet.node(index).board_->useOf(fleet.engine(1)).onlineRequests_ == 1);
     }
 }
 
@@ -114,17 +114,17 @@
     shape.changesPerSecond_ = 4;
     ExchangeFleet fleet(shape, 13);
     fleet.advance(1500ms);
-    for (std::size_t place = 0; place < fleet.size(); ++place) {
-        if (place % 3 != 0)
-            fleet.setLive(place, false);
+    for (std::size_t index = 0; index < fleet.size(); ++index) {
+        if (index % 3 != 0)
+            fleet.setLive(index, false);
     }
     fleet.advance(2s);
-    for (std::size_t place = 0; place < fleet.size(); ++place) {
-        if (place % 3 != 0)
-            fleet.setLive(place, true);
+    for (std::size_t index = 0; index < fleet.size(); ++index) {
+        if (index % 3 != 0)
+            fleet.setLive(index, true);
     }
     fleet.advance(1500ms);
-    fleet.stopChanges();
+    fleet.stopLoadChanges();
     fleet.advance(2500ms);
     checkAllAgree(fleet, shape.engines_);
 }
@@ -134,15 +134,15 @@
     ExchangeFleet fleet(FleetShape {}, 17);
     fleet.advance(1500ms);
     const NodeId worker = fleet.node(0).self_.node_;
-    for (std::size_t place = 1; place < fleet.size(); ++place) {
-        const Peer* peer = fleet.node(place).peers_->find(worker);
+    for (std::size_t index = 1; index < fleet.size(); ++index) {
+        const Peer* peer = fleet.node(index).peers_->find(worker);
         CHECK(peer->runsJobs_);
-        CHECK(fleet.now() - peer->heardAt_ < 1200ms);
+        CHECK(fleet.now() - peer->lastSeenAt_ < 1200ms);
     }
-    fleet.node(0).isCut_ = true;
+    fleet.node(0).isIsolated_ = true;
     fleet.advance(3s);
-    for (std::size_t place = 1; place < fleet.size(); ++place)
-        CHECK(fleet.now() - fleet.node(place).peers_->find(worker)->heardAt_ > 1200ms);
+    for (std::size_t index = 1; index < fleet.size(); ++index)
+        CHECK(fleet.now() - fleet.node(index).peers_->find(worker)->lastSeenAt_ > 1200ms);
 }
 
 TEST_CASE("exchange: a truncated or modified digest is rejected")
@@ -176,7 +176,7 @@
     }
     const WireKey key = WireKey::fromHex(std::string(64, '0')).value();
     std::set<CellId> found;
-    for (const CellDigest& digest : passedOn(cells)) {
+    for (const CellDigest& digest : packDigests(cells)) {
         CHECK(encode(key, digest).size() <= frameBytes);
         for (const CellSummary& cell : digest.cells_)
             found.insert(cell.use_.cell_);
--- a/libs/serving/tests/ReportPaceTest.cpp
+++ b/libs/serving/tests/ReportPaceTest.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-struct Heard {
+struct ReportStats {
     double perSecond_ = 0; // reports that one node receives
     Duration meanDelay_ {}; // from a change to the report that contains it
 };
 
 // Simulates 30 s in steps of a millisecond, and returns the results for the last 20 s.
-Heard play(std::size_t nodes, double changesPerSecond)
+ReportStats simulate(std::size_t nodes, double changesPerSecond)
 {
     struct Node {
         ReportPace pace_;
@@ -39,7 +39,7 @@
             node.pace_.tick(now);
             if (changes(random))
                 node.unreported_.push_back(now);
-            if (node.unreported_.empty() || now < node.pace_.nextAt())
+            if (node.unreported_.empty() || now < node.pace_.nextReportAt())
                 continue;
             if (now >= from) {
                 reports += 1;
@@ -51,7 +51,7 @@
             node.pace_.sent(now);
             for (Node& other : all) {
                 if (&other != &node)
-                    other.pace_.heard();
+                    other.pace_.received();
             }
         }
     }
@@ -62,17 +62,17 @@
 
 TEST_CASE("in a region of 42 nodes each change is reported immediately")
 {
-    const Heard heard = play(42, 12);
-    CHECK(heard.perSecond_ > 480);
-    CHECK(heard.meanDelay_ == Duration::zero());
+    const ReportStats received = simulate(42, 12);
+    CHECK(received.perSecond_ > 480);
+    CHECK(received.meanDelay_ == Duration::zero());
 }
 
 // The region has four times as many nodes, and each node twice as many requests. Without a limit each node would receive 4,700 reports a
 // second.
 TEST_CASE("in a region of 180 nodes a node receives about 1,000 reports a second, and changes are reported after about 100 ms")
 {
-    const Heard heard = play(180, 26);
-    CHECK(heard.perSecond_ < 1150);
-    CHECK(heard.perSecond_ > 700);
-    CHECK(heard.meanDelay_ < 110ms);
+    const ReportStats received = simulate(180, 26);
+    CHECK(received.perSecond_ < 1150);
+    CHECK(received.perSecond_ > 700);
+    CHECK(received.meanDelay_ < 110ms);
 }
