--- a/libs/serving/include/serving/ServingSettings.h
+++ b/libs/serving/include/serving/ServingSettings.h
@@ -26,7 +26,7 @@
     std::string name_; // host name that operators use
     std::string domain_;
     std::string region_;
-    std::map<std::string, std::string> regions_; // region of each failure domain
+    std::map<std::string, std::string> regionOfDomain_; // region of each failure domain
     std::optional<Endpoint> callers_; // empty: this node accepts no callers
     std::optional<Endpoint> ready_; // address of the readiness check
     std::optional<Endpoint> metrics_; // address for metrics and operators' requests
@@ -37,14 +37,14 @@
     Endpoint store_;
     double storeReadsPerSecond_ = 200; // by this node
     double storeWritesPerSecond_ = 100;
-    Duration grace_ = 8s; // from SIGTERM until the process must have exited
+    Duration shutdownGrace_ = 8s; // from SIGTERM until the process must have exited
     // Time that engines have to register again after an outage of the store. An engine still missing after it is removed.
     Duration engineGrace_ = 2200ms;
-    Duration acceptBound_ = 2500ms; // maximum time a job submission waits for the store
+    Duration acceptTimeout_ = 2500ms; // maximum time a job submission waits for the store
     // Simultaneous losses to tolerate. A job that is spooled on disks while the store is unavailable has one more copy than that.
-    std::uint32_t lostHosts_ = 1;
-    std::uint32_t lostDomains_ = 0;
-    std::uint32_t lostRegions_ = 0;
+    std::uint32_t tolerableHostLosses_ = 1;
+    std::uint32_t tolerableDomainLosses_ = 0;
+    std::uint32_t tolerableRegionLosses_ = 0;
     std::string diskFolder_; // empty: this node spools no jobs
     std::size_t diskBytes_ = 64U * 1024 * 1024; // size of the disk, of which a quarter is used
     std::size_t descriptors_ = 1024; // file descriptors that the process may open
--- a/libs/serving/src/Context.cpp
+++ b/libs/serving/src/Context.cpp
@@ -13,14 +13,14 @@
     // A live engine answers within 1 ms, or within about 30 ms from another region.
     constexpr Duration probeBound = 250ms;
 
-    bool isConnectionHeader(std::string_view name)
+    bool isHopByHopHeader(std::string_view name)
     {
         static constexpr std::string_view names[] = { "connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "te", "trailer", "expect", "proxy-connection" };
         return std::any_of(std::begin(names), std::end(names), [name](std::string_view one) { return boost::beast::iequals(name, one); });
     }
 
     // Returns whether the Connection header lists `name` as another hop-by-hop header.
-    bool isNamed(std::string_view connection, std::string_view name)
+    bool isListed(std::string_view connection, std::string_view name)
     {
         while (!connection.empty()) {
             const std::size_t comma = connection.find(',');
@@ -43,14 +43,14 @@
     , answered_(metrics.counter("jj_requests_answered_total", "requests whose answer was passed on whole"))
     , refused_(metrics.counter("jj_requests_refused_total", "requests refused, not run"))
     , failed_(metrics.counter("jj_requests_failed_total", "requests answered with a failure after they may have run"))
-    , brokenOff_(metrics.counter("jj_requests_broken_total", "answers cut after they had begun"))
-    , left_(metrics.counter("jj_requests_left_total", "requests whose caller went away"))
+    , aborted_(metrics.counter("jj_requests_broken_total", "answers cut after they had begun"))
+    , disconnected_(metrics.counter("jj_requests_left_total", "requests whose caller went away"))
     , resent_(metrics.counter("jj_requests_resent_total", "requests sent to another engine"))
-    , displaced_(metrics.counter("jj_questions_displacing_total", "questions that took a batch item's slot"))
+    , preemptions_(metrics.counter("jj_questions_displacing_total", "questions that took a batch item's slot"))
     , queued_(metrics.counter("jj_questions_queued_total", "questions that waited in an engine's queue"))
     , itemRuns_(metrics.counter("jj_item_runs_total", "runs of batch items"))
-    , itemsGivenWay_(metrics.counter("jj_items_given_way_total", "batch items stopped for a question"))
-    , jobsKept_(metrics.counter("jj_jobs_kept_total", "jobs acknowledged on disks while the store gave no answer"))
+    , itemsPreempted_(metrics.counter("jj_items_given_way_total", "batch items stopped for a question"))
+    , jobsSpooled_(metrics.counter("jj_jobs_kept_total", "jobs acknowledged on disks while the store gave no answer"))
     , firstEvent_(metrics.distribution("jj_first_event_ms", "from a request's arrival to its answer's first bytes"))
     , accept_(metrics.distribution("jj_job_accept_ms", "from a submission's arrival to its acknowledgement"))
 {
@@ -62,17 +62,17 @@
     if (!entry)
         return;
     static constexpr std::string_view faults[] = { "notConnected", "lost", "failure" };
-    const Duration shun = board_.failed(engine, fault, now());
-    log_.line("engineFailed").with("engine", entry->name_).with("fault", faults[static_cast<std::size_t>(fault)]).with("error", error ? error.message() : "").with("leftAloneMs", shun);
+    const Duration backoff = board_.failed(engine, fault, now());
+    log_.line("engineFailed").with("engine", entry->name_).with("fault", faults[static_cast<std::size_t>(fault)]).with("error", error ? error.message() : "").with("leftAloneMs", backoff);
     if (fault == EngineFault::NotConnected)
         engineDown(engine);
-    if (shun > Duration::zero())
+    if (backoff > Duration::zero())
         fleet_->publishReport();
 }
 
 void Context::engineDown(UpstreamId engine)
 {
-    for (const Fingerprint mark : suspects_.engineDown(engine, now())) {
+    for (const Fingerprint mark : crashSuspects_.engineDown(engine, now())) {
         log_.line("crashSuspected").with("engine", engine.value()).with("mark", mark.value());
         fleet_->publishCrashMark(mark, CrashSuspects::blockDuration);
     }
@@ -102,12 +102,12 @@
         if (!response)
             return failed(engine, EngineFault::NotConnected, response.error());
         board_.recordProbeSuccess(engine);
-        suspects_.clearLosses(engine);
+        crashSuspects_.clearLosses(engine);
         log_.line("engineProbed").with("engine", known->name_).with("status", response.value().status_);
     });
 }
 
-http::Response refusal(const Translation& translation, int status, std::string_view code, std::string_view message, RunState run, Duration retryAfter)
+http::Response refusalResponse(const Translation& translation, int status, std::string_view code, std::string_view message, RunState run, Duration retryAfter)
 {
     http::Response response = http::errorResponse(status, code, message, run);
     if (retryAfter > Duration::zero()) {
@@ -118,12 +118,12 @@
     return response;
 }
 
-http::Headers passedHeaders(const http::Headers& headers)
+http::Headers endToEndHeaders(const http::Headers& headers)
 {
     const std::string_view connection = headers.find("Connection");
     http::Headers passed;
     for (const http::Header& header : headers) {
-        if (!isConnectionHeader(header.name_) && !isNamed(connection, header.name_))
+        if (!isHopByHopHeader(header.name_) && !isListed(connection, header.name_))
             passed.add(header.name_, header.value_);
     }
     return passed;
--- a/libs/serving/src/Context.h
+++ b/libs/serving/src/Context.h
@@ -26,14 +26,14 @@
     CounterHandle answered_; // requests whose complete answer was forwarded
     CounterHandle refused_; // requests refused without being run
     CounterHandle failed_; // requests that may have run and were answered with a failure
-    CounterHandle brokenOff_; // answers aborted after they had started
-    CounterHandle left_; // requests whose caller disconnected
+    CounterHandle aborted_; // answers aborted after they had started
+    CounterHandle disconnected_; // requests whose caller disconnected
     CounterHandle resent_; // requests sent to another engine
-    CounterHandle displaced_; // online requests that took a batch item's slot
+    CounterHandle preemptions_; // online requests that took a batch item's slot
     CounterHandle queued_; // online requests that waited in an engine's queue
     CounterHandle itemRuns_;
-    CounterHandle itemsGivenWay_;
-    CounterHandle jobsKept_; // jobs acknowledged once spooled on disks, before the store accepted them
+    CounterHandle itemsPreempted_;
+    CounterHandle jobsSpooled_; // jobs acknowledged once spooled on disks, before the store accepted them
     DistributionHandle firstEvent_; // ms from a request's arrival to the first bytes of its answer
     DistributionHandle accept_; // ms from a job submission's arrival to its acknowledgement
 };
@@ -51,7 +51,7 @@
     Fleet* fleet_ = nullptr; // set before the event loop runs
     SlotQueue* queue_ = nullptr; // set before the event loop runs
     std::shared_ptr<const RouteTable> table_ {}; // null until the first configuration is applied
-    CrashSuspects suspects_ {};
+    CrashSuspects crashSuspects_ {};
 
     TimePoint now() const { return SystemClock().now(); }
     // Checks over a new connection whether an engine in backoff is alive. Requests are sent to the engine again only if it is.
@@ -65,9 +65,9 @@
 };
 
 // Returns an error response that carries `code` and the run state. The retry header is omitted if `retryAfter` is zero.
-http::Response refusal(const Translation& translation, int status, std::string_view code, std::string_view message, RunState run, Duration retryAfter);
+http::Response refusalResponse(const Translation& translation, int status, std::string_view code, std::string_view message, RunState run, Duration retryAfter);
 
 // Returns the end-to-end headers, which a proxy forwards: all except the hop-by-hop ones.
-http::Headers passedHeaders(const http::Headers& headers);
+http::Headers endToEndHeaders(const http::Headers& headers);
 
 } // namespace jj
--- a/libs/serving/src/DecisionLog.cpp
+++ b/libs/serving/src/DecisionLog.cpp
@@ -38,7 +38,7 @@
 DecisionLog::DecisionLog(const std::string& host, std::uint32_t linesPerSecond, int descriptor)
     : linesPerSecond_(linesPerSecond)
     , descriptor_(descriptor)
-    , budget_(linesPerSecond)
+    , lineBudget_(linesPerSecond)
 {
     prefix_ = ",\"host\":";
     appendEscaped(prefix_, host);
@@ -48,19 +48,19 @@
         ::fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
 }
 
-bool DecisionLog::mayWrite()
+bool DecisionLog::reserveLine()
 {
     const TimePoint now = SystemClock().now();
-    if (filledAt_ != TimePoint())
-        budget_ = std::min(linesPerSecond_, budget_ + toSeconds(now - filledAt_) * linesPerSecond_);
-    filledAt_ = now;
-    constexpr std::size_t room = 4 * 1024;
-    if (budget_ < 1 || buffer_.size() + room > bufferBytes) {
+    if (budgetUpdatedAt_ != TimePoint())
+        lineBudget_ = std::min(linesPerSecond_, lineBudget_ + toSeconds(now - budgetUpdatedAt_) * linesPerSecond_);
+    budgetUpdatedAt_ = now;
+    constexpr std::size_t maxLineBytes = 4 * 1024;
+    if (lineBudget_ < 1 || buffer_.size() + maxLineBytes > bufferBytes) {
         ++dropped_;
         ++droppedTotal_;
         return false;
     }
-    budget_ -= 1;
+    lineBudget_ -= 1;
     return true;
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-DecisionLog::Line DecisionLog::line(std::string_view event) { return { mayWrite() ? this : nullptr, event }; }
+DecisionLog::Line DecisionLog::line(std::string_view event) { return { reserveLine() ? this : nullptr, event }; }
 
 void DecisionLog::flushIfDue(TimePoint now)
 {
@@ -126,8 +126,8 @@
     log_->buffer_.push_back(',');
     appendEscaped(log_->buffer_, key);
     log_->buffer_.push_back(':');
-    constexpr std::size_t longest = 200;
-    appendEscaped(log_->buffer_, value.substr(0, longest));
+    constexpr std::size_t maxValueBytes = 200;
+    appendEscaped(log_->buffer_, value.substr(0, maxValueBytes));
     return *this;
 }
 
--- a/libs/serving/src/DecisionLog.h
+++ b/libs/serving/src/DecisionLog.h
@@ -59,14 +59,14 @@
 
 private:
     friend class Line;
-    bool mayWrite();
+    bool reserveLine();
     void begin(std::string_view event);
 
     std::string prefix_; // host field and event key, the same in every line
     double linesPerSecond_;
     int descriptor_;
-    double budget_; // lines that may be written now; refilled at linesPerSecond_
-    TimePoint filledAt_ {};
+    double lineBudget_; // lines that may be written now; refilled at linesPerSecond_
+    TimePoint budgetUpdatedAt_ {};
     TimePoint flushedAt_ {};
     std::uint64_t dropped_ = 0; // since the last line that was written
     std::uint64_t droppedTotal_ = 0;
--- a/libs/serving/src/Fleet.h
+++ b/libs/serving/src/Fleet.h
@@ -5,10 +5,10 @@
 #pragma once
 
 #include "DecisionLog.h"
-#include "Keepers.h"
 #include "PeerMessages.h"
 #include "PeerTable.h"
 #include "ReportExchange.h"
+#include "SpoolReplicas.h"
 #include "WatchChoice.h"
 #include "base/Result.h"
 #include "membership/MembershipCore.h"
--- a/libs/serving/src/FleetPeers.cpp
+++ b/libs/serving/src/FleetPeers.cpp
@@ -81,14 +81,14 @@
 
 std::vector<NodeId> Fleet::selectSpoolHosts(const TolerableLosses& losses, const std::vector<NodeId>& excluded)
 {
-    std::vector<KeeperCandidate> candidates;
+    std::vector<SpoolReplicaCandidate> candidates;
     for (const Peer& peer : peers_.rows()) {
         const bool isReportFresh = now_ - peer.lastSeenAt_ < freshReportAge;
         const bool isExcluded = std::find(excluded.begin(), excluded.end(), peer.node_) != excluded.end();
         if (peer.isLive() && isReportFresh && !peer.leaving_ && peer.spoolsJobs_ && !isExcluded)
             candidates.push_back({ peer.node_, peer.domain_, peer.region_, peer.region_ == options_.region_ });
     }
-    return chooseKeepers(std::move(candidates), losses, mixHash(self_.value(), ++spoolSelections_));
+    return chooseSpoolReplicas(std::move(candidates), losses, mixHash(self_.value(), ++spoolSelections_));
 }
 
 bool Fleet::hasPeerWithSpooledJobs() const
--- a/libs/serving/src/HopTimes.h
+++ b/libs/serving/src/HopTimes.h
@@ -14,15 +14,15 @@
 
 struct HopTimes {
     Duration wait_ {}; // how long the receiver may hold the answer
-    Duration bound_ {}; // how long the sender waits for the answer
+    Duration timeout_ {}; // how long the sender waits for the answer
 };
 
 // `callerWait`: how long the caller is willing to wait for a result. `elapsed`: time since the caller's request arrived.
-inline HopTimes hopTimes(Duration asked, Duration elapsed)
+inline HopTimes hopTimes(Duration callerWait, Duration elapsed)
 {
     // Covers the network round trip and a store lookup by the receiver.
     constexpr Duration margin = 600ms;
-    const Duration wait = std::max(asked - elapsed, Duration::zero());
+    const Duration wait = std::max(callerWait - elapsed, Duration::zero());
     return { wait, wait + margin };
 }
 
--- a/libs/serving/src/ItemRunner.cpp
+++ b/libs/serving/src/ItemRunner.cpp
@@ -12,7 +12,7 @@
     constexpr int statusMisdirected = 421;
     constexpr int statusFailed = 500;
     // Weight of the latest run in the moving average of run times.
-    constexpr double meanGain = 0.1;
+    constexpr double smoothingFactor = 0.1;
 
 } // namespace
 
@@ -20,7 +20,7 @@
     : context_(context)
     , scheduler_(scheduler)
     , settings_(settings)
-    , meanRunSeconds_(toSeconds(settings.assumedRun_))
+    , meanRunSeconds_(toSeconds(settings.assumedRunTime_))
 {
 }
 
@@ -33,9 +33,9 @@
 void ItemRunner::pump(TimePoint now)
 {
     scheduler_.setRunTime(fromSeconds(meanRunSeconds_));
-    cedeOne(now);
+    yieldOneItem(now);
     std::size_t starts = 0;
-    while (starts < settings_.startsPerTurn_ && startOne(now))
+    while (starts < settings_.maxStartsPerPump_ && startOne(now))
         ++starts;
     reportWaiting(now);
 }
@@ -67,10 +67,10 @@
 void ItemRunner::reportWaiting(TimePoint now)
 {
     std::map<std::string, JobScheduler::Waiting> waiting = scheduler_.waiting(now);
-    for (const auto& [service, before] : reported_)
+    for (const auto& [service, before] : lastReported_)
         waiting.try_emplace(service);
     for (const auto& [service, items] : waiting) {
-        ReportedItems& reported = reported_[service];
+        ReportedItems& reported = lastReported_[service];
         const ReportedItems current { items.inTime_, items.firstDue_ };
         if (reported == current)
             continue;
@@ -83,7 +83,7 @@
 // Preempts the item running here that is due last if items that are due much earlier wait on other nodes and there are too few
 // free slots for them. Preempts at most one item per call: by the next call, this node has received the report of which node took
 // the slot.
-void ItemRunner::cedeOne(TimePoint now)
+void ItemRunner::yieldOneItem(TimePoint now)
 {
     RunPtr last;
     for (const auto& [id, run] : runs_) {
@@ -112,7 +112,7 @@
         request.headers_.add(names.resumeAfter_, std::to_string(*item.resumeAfter_));
     context_.log_.line("itemSent").with("request", item.item_).with("job", item.job_).with("engine", entry->name_).with("resumeAfter", item.resumeAfter_ ? static_cast<std::int64_t>(*item.resumeAfter_) : -1).with("dueInMs", item.due_ - run->sentAt_);
     http::CallOptions options;
-    options.idle_ = settings_.silence_;
+    options.idle_ = settings_.silenceTimeout_;
     options.echoName_ = names.attemptId_;
     options.echoValue_ = item.item_;
     http::CallHandlers handlers;
@@ -134,20 +134,20 @@
 {
     if (!isCurrent(run) || run->status_ != statusOk || run->rejected_)
         return;
-    bool outOfStep = false;
+    bool isDiscontinuous = false;
     run->scanner_.feed(data, [&](const StreamEvent& event) {
-        if (outOfStep || !event.id_)
+        if (isDiscontinuous || !event.id_)
             return;
-        std::optional<std::uint64_t>& held = run->item_.resumeAfter_;
+        std::optional<std::uint64_t>& lastEvent = run->item_.resumeAfter_;
         // The first event of a new run may have any id; the ids of all further events are consecutive.
-        if (held && *event.id_ != *held + 1) {
-            outOfStep = true;
+        if (lastEvent && *event.id_ != *lastEvent + 1) {
+            isDiscontinuous = true;
             return;
         }
-        held = event.id_;
+        lastEvent = event.id_;
         scheduler_.event(run->item_.id_, *event.id_, event.data_);
     });
-    if (outOfStep)
+    if (isDiscontinuous)
         finish(run, RunResult::ResumeMismatch, "outOfStep");
 }
 
@@ -167,10 +167,10 @@
     context_.board_.succeeded(run->engine_, context_.now());
     switch (run->status_) {
     case statusOk: {
-        const bool isWhole = run->scanner_.rest().empty();
-        if (isWhole)
-            meanRunSeconds_ += meanGain * (toSeconds(context_.now() - run->sentAt_) - meanRunSeconds_);
-        return finish(run, isWhole ? RunResult::Completed : RunResult::Interrupted, isWhole ? "completed" : "endedInsideEvent");
+        const bool isComplete = run->scanner_.rest().empty();
+        if (isComplete)
+            meanRunSeconds_ += smoothingFactor * (toSeconds(context_.now() - run->sentAt_) - meanRunSeconds_);
+        return finish(run, isComplete ? RunResult::Completed : RunResult::Interrupted, isComplete ? "completed" : "endedInsideEvent");
     }
     case statusImpossible:
         return finish(run, RunResult::Unprocessable, "impossible");
@@ -206,19 +206,19 @@
     scheduler_.ended(run->item_.id_, end, context_.now());
 }
 
-void ItemRunner::markFirm(TimePoint now)
+void ItemRunner::updateNonPreemptibleItems(TimePoint now)
 {
-    std::map<UpstreamId, std::uint16_t> firm;
+    std::map<UpstreamId, std::uint16_t> nonPreemptible;
     for (const auto& [id, run] : runs_) {
-        std::uint16_t& count = firm[run->engine_];
-        if (count < settings_.firmPerEngine_ && scheduler_.urgencyOf(id, now) == ItemUrgency::Urgent)
+        std::uint16_t& count = nonPreemptible[run->engine_];
+        if (count < settings_.nonPreemptiblePerEngine_ && scheduler_.urgencyOf(id, now) == ItemUrgency::Urgent)
             ++count;
     }
-    for (const auto& [engine, count] : firm)
+    for (const auto& [engine, count] : nonPreemptible)
         context_.board_.setNonPreemptibleItems(engine, count);
 }
 
-bool ItemRunner::giveWay(UpstreamId engine, TimePoint now)
+bool ItemRunner::preemptItem(UpstreamId engine, TimePoint now)
 {
     // Prefers items that are late, since they lose nothing by waiting. Of the others, the item that is due last has the most time
     // to resume on another engine.
@@ -238,10 +238,10 @@
         chosen = run;
         chosenUrgency = urgency;
     }
-    const bool mayStay = chosenUrgency == ItemUrgency::Urgent && urgent <= settings_.firmPerEngine_;
-    if (!chosen || mayStay)
+    const bool isNonPreemptible = chosenUrgency == ItemUrgency::Urgent && urgent <= settings_.nonPreemptiblePerEngine_;
+    if (!chosen || isNonPreemptible)
         return chosen != nullptr;
-    context_.metrics_.metrics_.add(context_.metrics_.itemsGivenWay_);
+    context_.metrics_.metrics_.add(context_.metrics_.itemsPreempted_);
     finish(chosen, RunResult::Preempted, "gaveWay");
     return true;
 }
--- a/libs/serving/src/ItemRunner.h
+++ b/libs/serving/src/ItemRunner.h
@@ -19,15 +19,15 @@
 
 struct ItemRunnerSettings {
     // A run is considered lost after this long without an event, several times the longest pause on a fully loaded engine.
-    Duration silence_ = 1500ms;
+    Duration silenceTimeout_ = 1500ms;
     // Assumed duration of a run until one has been measured: that of 219 events on a busy engine.
-    Duration assumedRun_ = 5s;
+    Duration assumedRunTime_ = 5s;
     // Number of urgent items per engine that online requests can't preempt. Urgent items meet their deadline only if they run now.
     // The limit gives batch work a share of each engine, but never all of it.
-    std::uint16_t firmPerEngine_ = 1;
+    std::uint16_t nonPreemptiblePerEngine_ = 1;
     // Maximum number of runs started by one call of pump(), so that nodes that see the same free slots at the same time don't all
     // take them.
-    std::size_t startsPerTurn_ = 4;
+    std::size_t maxStartsPerPump_ = 4;
 };
 
 class ItemRunner {
@@ -38,9 +38,9 @@
     void pump(TimePoint now);
     // Preempts one item on the engine for an online request, unless all items there are non-preemptible. Returns false if this node
     // runs no item on the engine.
-    bool giveWay(UpstreamId engine, TimePoint now);
+    bool preemptItem(UpstreamId engine, TimePoint now);
     // Updates the number of non-preemptible items on each engine on the capacity board.
-    void markFirm(TimePoint now);
+    void updateNonPreemptibleItems(TimePoint now);
     // Cancels a run that the scheduler no longer needs, without reporting its end to the scheduler.
     void stop(RunId run);
     std::size_t running() const { return runs_.size(); }
@@ -69,7 +69,7 @@
     // Starts the first item that has a free slot. Returns false if there is none.
     bool startOne(TimePoint now);
     void reportWaiting(TimePoint now);
-    void cedeOne(TimePoint now);
+    void yieldOneItem(TimePoint now);
     void send(const RunPtr& run);
     void onHead(const RunPtr& run, const http::ResponseHead& head);
     void onData(const RunPtr& run, std::string_view data);
@@ -82,7 +82,7 @@
     JobScheduler& scheduler_;
     ItemRunnerSettings settings_;
     std::map<RunId, RunPtr> runs_;
-    std::map<std::string, ReportedItems> reported_;
+    std::map<std::string, ReportedItems> lastReported_;
     double meanRunSeconds_;
 };
 
--- a/libs/serving/src/JobFront.cpp
+++ b/libs/serving/src/JobFront.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    constexpr Duration callBound = 1200ms;
+    constexpr Duration callTimeout = 1200ms;
     // Covers the disk write on the host that spools the job, about 1 ms, and a round trip to another region.
-    constexpr Duration keepBound = 600ms;
-    constexpr int mostHops = 3;
-    constexpr int mostHandTries = 3;
+    constexpr Duration spoolTimeout = 600ms;
+    constexpr int maxHops = 3;
+    constexpr int maxSendAttempts = 3;
     constexpr Duration retryAfter = 300ms;
-    constexpr std::size_t mostOwners = 8192;
+    constexpr std::size_t maxKnownOwners = 8192;
 
     Duration waitOf(const JobRequest& call)
     {
@@ -44,12 +44,12 @@
 
 } // namespace
 
-struct JobFront::Asked {
+struct JobFront::PendingCall {
     std::shared_ptr<http::Exchange> exchange_;
     JobRequest call_;
-    TimePoint began_ {};
+    TimePoint startedAt_ {};
     int hops_ = 0;
-    NodeId next_; // node to query next
+    NodeId nextNode_; // node to query next
 };
 
 JobFront::JobFront(Context& context, JobScheduler& scheduler, StoreLink& store)
@@ -64,13 +64,13 @@
     IntakeOutlets outlets;
     outlets.store_ = [&store](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store.send(std::move(call), callClass, until, std::move(done)); };
     outlets.isStoreUnavailable_ = [&store] { return store.isUnreachable(); };
-    outlets.chooseReplicas_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->selectSpoolHosts({ context_.settings_.lostHosts_, context_.settings_.lostDomains_, context_.settings_.lostRegions_ }, silent); };
-    outlets.requestSpooling_ = [this](NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done) { keepAt(host, std::move(job), std::move(done)); };
-    outlets.discardCopy_ = [this](NodeId host, const JobName& job) { forgetAt(host, job); };
+    outlets.chooseReplicas_ = [this](const std::vector<NodeId>& silent) { return context_.fleet_->selectSpoolHosts({ context_.settings_.tolerableHostLosses_, context_.settings_.tolerableDomainLosses_, context_.settings_.tolerableRegionLosses_ }, silent); };
+    outlets.requestSpooling_ = [this](NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done) { spoolAt(host, std::move(job), std::move(done)); };
+    outlets.discardCopy_ = [this](NodeId host, const JobName& job) { removeSpooledCopy(host, job); };
     outlets.ownerOf_ = [this](const JobName& job) { return context_.fleet_->preferredOwner(job, context_.fleet_->self()); };
     outlets.notifyOwner_ = [this](const JobName& job, const Acceptance& acceptance) {
-        remember(job, acceptance.head_.owner_);
-        handToOwner(job, acceptance, 0);
+        rememberOwner(job, acceptance.head_.owner_);
+        sendToOwner(job, acceptance, 0);
     };
     return outlets;
 }
@@ -79,11 +79,11 @@
 
 void JobFront::submit(const std::shared_ptr<http::Exchange>& exchange, const Route& route)
 {
-    const TimePoint began = context_.now();
+    const TimePoint startedAt = context_.now();
     auto submission = context_.translation_.parseSubmission_(exchange->request());
     if (!submission) {
         context_.log_.line("jobRefused").with("request", exchange->request().headers_.find(context_.translation_.headers_.attemptId_)).with("error", submission.error().message());
-        return exchange->respond(refusal(context_.translation_, 400, "job.Unreadable", submission.error().message(), RunState::NotRun, {}));
+        return exchange->respond(refusalResponse(context_.translation_, 400, "job.Unreadable", submission.error().message(), RunState::NotRun, {}));
     }
     JobSubmission& job = submission.value();
     job.head_.host_ = hostName(exchange->request().headers_.find("Host"));
@@ -91,13 +91,13 @@
     job.head_.abandonAfter_ = route.abandonAfter_;
     job.head_.maxAttempts_ = route.maxAttempts_;
     const JobName name = job.job_;
-    intake_.submit(std::move(job), context_.settings_.acceptBound_, began, SystemClock().wallNow(), [this, exchange, name, began](const IntakeAnswer& answer, TimePoint now) { respond(exchange, name, answer, began, now); });
+    intake_.submit(std::move(job), context_.settings_.acceptTimeout_, startedAt, SystemClock().wallNow(), [this, exchange, name, startedAt](const IntakeAnswer& answer, TimePoint now) { respond(exchange, name, answer, startedAt, now); });
 }
 
-void JobFront::keepAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done)
+void JobFront::spoolAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done)
 {
     const JobName name = job.submission_.job_;
-    context_.fleet_->request(host, SpoolRequest { std::move(job) }, keepBound, [this, host, name, done = std::move(done)](const Result<PeerReply>& reply) {
+    context_.fleet_->request(host, SpoolRequest { std::move(job) }, spoolTimeout, [this, host, name, done = std::move(done)](const Result<PeerReply>& reply) {
         const auto* kept = reply ? std::get_if<SpoolReply>(&reply.value()) : nullptr;
         const SpoolOutcome outcome = kept ? kept->outcome_ : SpoolOutcome::Unknown;
         if (outcome != SpoolOutcome::Spooled)
@@ -106,50 +106,50 @@
     });
 }
 
-void JobFront::forgetAt(NodeId host, const JobName& job)
+void JobFront::removeSpooledCopy(NodeId host, const JobName& job)
 {
-    context_.fleet_->request(host, DropSpooledRequest { job }, keepBound, [this, job](const Result<PeerReply>& reply) {
+    context_.fleet_->request(host, DropSpooledRequest { job }, spoolTimeout, [this, job](const Result<PeerReply>& reply) {
         if (!reply)
             context_.log_.line("copyNotForgotten").with("job", job).with("error", reply.error().message());
     });
 }
 
-void JobFront::respond(const std::shared_ptr<http::Exchange>& exchange, const JobName& job, const IntakeAnswer& answer, TimePoint began, TimePoint now)
+void JobFront::respond(const std::shared_ptr<http::Exchange>& exchange, const JobName& job, const IntakeAnswer& answer, TimePoint startedAt, TimePoint now)
 {
-    context_.log_.line("jobSubmitted").with("request", job).with("job", job).with("outcome", toString(answer.outcome_)).with("items", answer.items_).with("owner", answer.owner_.value()).with("afterMs", now - began);
+    context_.log_.line("jobSubmitted").with("request", job).with("job", job).with("outcome", toString(answer.outcome_)).with("items", answer.items_).with("owner", answer.owner_.value()).with("afterMs", now - startedAt);
     switch (answer.outcome_) {
     case AcceptOutcome::Accepted:
     case AcceptOutcome::Spooled:
-        context_.metrics_.metrics_.observe(context_.metrics_.accept_, toMilliseconds(now - began));
+        context_.metrics_.metrics_.observe(context_.metrics_.accept_, toMilliseconds(now - startedAt));
         if (answer.outcome_ == AcceptOutcome::Spooled)
-            context_.metrics_.metrics_.add(context_.metrics_.jobsKept_);
+            context_.metrics_.metrics_.add(context_.metrics_.jobsSpooled_);
         return exchange->respond({ 202, { { "Content-Type", "application/json" } }, "{}" });
     case AcceptOutcome::AlreadyAccepted:
         return exchange->respond({ 202, { { "Content-Type", "application/json" } }, "{}" });
     case AcceptOutcome::NotAccepted:
         context_.metrics_.metrics_.add(context_.metrics_.refused_);
-        return exchange->respond(refusal(context_.translation_, 503, "store.Unavailable", "the store is unavailable and the job was not accepted; none of its items run", RunState::NotRun, retryAfter));
+        return exchange->respond(refusalResponse(context_.translation_, 503, "store.Unavailable", "the store is unavailable and the job was not accepted; none of its items run", RunState::NotRun, retryAfter));
     case AcceptOutcome::Unknown:
         context_.metrics_.metrics_.add(context_.metrics_.failed_);
-        return exchange->respond(refusal(context_.translation_, 500, "store.OutcomeUnknown", "the store did not answer; the job may have been accepted, submit it again", RunState::OutcomeUnknown, {}));
+        return exchange->respond(refusalResponse(context_.translation_, 500, "store.OutcomeUnknown", "the store did not answer; the job may have been accepted, submit it again", RunState::OutcomeUnknown, {}));
     case AcceptOutcome::Invalid:
-        return exchange->respond(refusal(context_.translation_, 400, "job.Invalid", answer.failure_.message(), RunState::NotRun, {}));
+        return exchange->respond(refusalResponse(context_.translation_, 400, "job.Invalid", answer.failure_.message(), RunState::NotRun, {}));
     }
 }
 
 // A lost message only delays the job: its owner, or the node that should own it, finds the job when it scans the store.
-void JobFront::handToOwner(const JobName& job, const Acceptance& acceptance, int tries)
+void JobFront::sendToOwner(const JobName& job, const Acceptance& acceptance, int tries)
 {
     JobTransfer transfer { job, acceptance.head_, acceptance.headVersion_, acceptance.items_, 0, tries > 0, {} };
     const NodeId owner = acceptance.head_.owner_;
     if (owner == context_.fleet_->self())
         return scheduler_.adopt(std::move(transfer), context_.now(), SystemClock().wallNow());
-    context_.fleet_->request(owner, AdoptRequest { std::move(transfer) }, callBound, [this, job, acceptance, tries](const Result<PeerReply>& reply) {
+    context_.fleet_->request(owner, AdoptRequest { std::move(transfer) }, callTimeout, [this, job, acceptance, tries](const Result<PeerReply>& reply) {
         if (reply)
             return;
         context_.log_.line("ownerUnreachable").with("job", job).with("tries", tries + 1).with("error", reply.error().message());
-        if (tries + 1 < mostHandTries)
-            handToOwner(job, acceptance, tries + 1);
+        if (tries + 1 < maxSendAttempts)
+            sendToOwner(job, acceptance, tries + 1);
     });
 }
 
@@ -163,32 +163,32 @@
     return context_.fleet_->preferredOwner(job, context_.fleet_->self());
 }
 
-void JobFront::remember(const JobName& job, NodeId owner)
+void JobFront::rememberOwner(const JobName& job, NodeId owner)
 {
-    if (owners_.size() >= mostOwners)
+    if (owners_.size() >= maxKnownOwners)
         owners_.clear();
     owners_[job] = owner;
 }
 
 void JobFront::call(std::shared_ptr<http::Exchange> exchange, JobRequest call)
 {
-    auto asked = std::make_shared<Asked>();
-    asked->exchange_ = std::move(exchange);
-    asked->next_ = ownerOf(jobOf(call));
-    asked->call_ = std::move(call);
-    asked->began_ = context_.now();
-    askOwner(asked);
+    auto pending = std::make_shared<PendingCall>();
+    pending->exchange_ = std::move(exchange);
+    pending->nextNode_ = ownerOf(jobOf(call));
+    pending->call_ = std::move(call);
+    pending->startedAt_ = context_.now();
+    queryOwner(pending);
 }
 
-void JobFront::askOwner(const AskedPtr& asked)
+void JobFront::queryOwner(const PendingCallPtr& pending)
 {
-    if (asked->next_ == context_.fleet_->self() || asked->next_.isNone())
-        return askHere(asked, asked->next_.isNone());
-    const HopTimes times = hopTimes(waitOf(asked->call_), context_.now() - asked->began_);
-    context_.fleet_->request(asked->next_, peerCallOf(asked->call_, times.wait_), times.bound_, [this, asked](Result<PeerReply> reply) {
+    if (pending->nextNode_ == context_.fleet_->self() || pending->nextNode_.isNone())
+        return answerLocally(pending, pending->nextNode_.isNone());
+    const HopTimes times = hopTimes(waitOf(pending->call_), context_.now() - pending->startedAt_);
+    context_.fleet_->request(pending->nextNode_, peerCallOf(pending->call_, times.wait_), times.timeout_, [this, pending](Result<PeerReply> reply) {
         if (!reply) {
-            context_.log_.line("ownerUnreachable").with("job", jobOf(asked->call_)).with("call", nameOf(asked->call_)).with("owner", asked->next_.value()).with("error", reply.error().message());
-            return askHere(asked, true);
+            context_.log_.line("ownerUnreachable").with("job", jobOf(pending->call_)).with("call", nameOf(pending->call_)).with("owner", pending->nextNode_.value()).with("error", reply.error().message());
+            return answerLocally(pending, true);
         }
         ReadOutcome outcome = ReadOutcome::Unavailable;
         NodeId owner;
@@ -202,55 +202,55 @@
             outcome = end->outcome_;
             owner = end->owner_;
         }
-        answered(asked, outcome, owner, false, reply.value());
+        onReply(pending, outcome, owner, false, reply.value());
     });
 }
 
-void JobFront::askHere(const AskedPtr& asked, bool force)
+void JobFront::answerLocally(const PendingCallPtr& pending, bool bypassOwner)
 {
     const TimePoint now = context_.now();
-    if (const auto* read = std::get_if<JobReadRequest>(&asked->call_)) {
-        return scheduler_.read(read->job_, read->after_, hopTimes(read->wait_, now - asked->began_).wait_, force, now, [this, asked](ReadAnswer answer) {
+    if (const auto* read = std::get_if<JobReadRequest>(&pending->call_)) {
+        return scheduler_.read(read->job_, read->after_, hopTimes(read->wait_, now - pending->startedAt_).wait_, bypassOwner, now, [this, pending](ReadAnswer answer) {
             const ReadOutcome outcome = answer.outcome_;
             const NodeId owner = answer.owner_;
-            answered(asked, outcome, owner, true, std::move(answer));
+            onReply(pending, outcome, owner, true, std::move(answer));
         });
     }
-    if (const auto* body = std::get_if<ItemBodyRequest>(&asked->call_)) {
-        return scheduler_.body(body->job_, body->item_, force, now, [this, asked](BodyAnswer answer) {
+    if (const auto* body = std::get_if<ItemBodyRequest>(&pending->call_)) {
+        return scheduler_.body(body->job_, body->item_, bypassOwner, now, [this, pending](BodyAnswer answer) {
             const ReadOutcome outcome = answer.outcome_;
             const NodeId owner = answer.owner_;
-            answered(asked, outcome, owner, true, std::move(answer));
+            onReply(pending, outcome, owner, true, std::move(answer));
         });
     }
-    scheduler_.end(std::get<JobCancelRequest>(asked->call_).job_, force, now, [this, asked](CancelAnswer answer) { answered(asked, answer.outcome_, answer.owner_, true, answer); });
+    scheduler_.end(std::get<JobCancelRequest>(pending->call_).job_, bypassOwner, now, [this, pending](CancelAnswer answer) { onReply(pending, answer.outcome_, answer.owner_, true, answer); });
 }
 
-void JobFront::answered(const AskedPtr& asked, ReadOutcome outcome, NodeId owner, bool wasHere, const PeerReply& reply)
+void JobFront::onReply(const PendingCallPtr& pending, ReadOutcome outcome, NodeId owner, bool wasLocal, const PeerReply& reply)
 {
-    const bool mayGoOn = ++asked->hops_ < mostHops && context_.now() - asked->began_ < waitOf(asked->call_) + callBound;
-    if (outcome == ReadOutcome::OtherOwner && mayGoOn) {
-        remember(jobOf(asked->call_), owner);
-        asked->next_ = owner;
-        return owner == context_.fleet_->self() && wasHere ? askHere(asked, true) : askOwner(asked);
+    const bool mayContinue = ++pending->hops_ < maxHops && context_.now() - pending->startedAt_ < waitOf(pending->call_) + callTimeout;
+    if (outcome == ReadOutcome::OtherOwner && mayContinue) {
+        rememberOwner(jobOf(pending->call_), owner);
+        pending->nextNode_ = owner;
+        return owner == context_.fleet_->self() && wasLocal ? answerLocally(pending, true) : queryOwner(pending);
     }
-    if (outcome == ReadOutcome::Unavailable && !wasHere && mayGoOn)
-        return askHere(asked, true);
-    if (outcome == ReadOutcome::Found && !wasHere)
-        remember(jobOf(asked->call_), asked->next_);
-    respond(*asked, outcome, reply);
+    if (outcome == ReadOutcome::Unavailable && !wasLocal && mayContinue)
+        return answerLocally(pending, true);
+    if (outcome == ReadOutcome::Found && !wasLocal)
+        rememberOwner(jobOf(pending->call_), pending->nextNode_);
+    respond(*pending, outcome, reply);
 }
 
-void JobFront::respond(const Asked& asked, ReadOutcome outcome, const PeerReply& reply)
+void JobFront::respond(const PendingCall& pending, ReadOutcome outcome, const PeerReply& reply)
 {
-    http::Exchange& exchange = *asked.exchange_;
+    http::Exchange& exchange = *pending.exchange_;
     const bool isUnsure = outcome == ReadOutcome::Unavailable || outcome == ReadOutcome::OtherOwner;
     if (isUnsure || outcome == ReadOutcome::Missing)
-        context_.log_.line("jobCallFailed").with("job", jobOf(asked.call_)).with("call", nameOf(asked.call_)).with("outcome", isUnsure ? "unsure" : "missing").with("hops", asked.hops_).with("afterMs", context_.now() - asked.began_);
+        context_.log_.line("jobCallFailed").with("job", jobOf(pending.call_)).with("call", nameOf(pending.call_)).with("outcome", isUnsure ? "unsure" : "missing").with("hops", pending.hops_).with("afterMs", context_.now() - pending.startedAt_);
     if (isUnsure)
-        return exchange.respond(refusal(context_.translation_, 503, "job.Unsure", "neither the job's owner nor the store can be reached", RunState::NotRun, retryAfter));
+        return exchange.respond(refusalResponse(context_.translation_, 503, "job.Unsure", "neither the job's owner nor the store can be reached", RunState::NotRun, retryAfter));
     if (outcome == ReadOutcome::Missing)
-        return exchange.respond(refusal(context_.translation_, 404, "job.NotFound", "no such job or item", RunState::NotRun, {}));
+        return exchange.respond(refusalResponse(context_.translation_, 404, "job.NotFound", "no such job or item", RunState::NotRun, {}));
     if (const auto* read = std::get_if<ReadAnswer>(&reply))
         return exchange.respond({ 200, { { "Content-Type", "application/json" } }, context_.translation_.formatResults_(*read) });
     if (const auto* body = std::get_if<BodyAnswer>(&reply))
--- a/libs/serving/src/JobFront.h
+++ b/libs/serving/src/JobFront.h
@@ -18,26 +18,26 @@
     void submit(const std::shared_ptr<http::Exchange>& exchange, const Route& route);
     void call(std::shared_ptr<http::Exchange> exchange, JobRequest call);
     // Sends a job that the store has accepted to its owner. A lost message only delays the job.
-    void handToOwner(const JobName& job, const Acceptance& acceptance) { handToOwner(job, acceptance, 0); }
+    void sendToOwner(const JobName& job, const Acceptance& acceptance) { sendToOwner(job, acceptance, 0); }
     void tick(TimePoint now) { intake_.tick(now); }
 
 private:
-    struct Asked;
-    using AskedPtr = std::shared_ptr<Asked>;
+    struct PendingCall;
+    using PendingCallPtr = std::shared_ptr<PendingCall>;
 
     IntakeOutlets intakeOutlets(StoreLink& store);
-    void keepAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done);
-    void forgetAt(NodeId host, const JobName& job);
-    void respond(const std::shared_ptr<http::Exchange>& exchange, const JobName& job, const IntakeAnswer& answer, TimePoint began, TimePoint now);
-    void handToOwner(const JobName& job, const Acceptance& acceptance, int tries);
-    void askOwner(const AskedPtr& asked);
+    void spoolAt(NodeId host, SpooledJob job, std::function<void(SpoolOutcome, TimePoint)> done);
+    void removeSpooledCopy(NodeId host, const JobName& job);
+    void respond(const std::shared_ptr<http::Exchange>& exchange, const JobName& job, const IntakeAnswer& answer, TimePoint startedAt, TimePoint now);
+    void sendToOwner(const JobName& job, const Acceptance& acceptance, int tries);
+    void queryOwner(const PendingCallPtr& pending);
     // Answers from this node. `bypassOwner`: reads the store, whichever node owns the job.
-    void askHere(const AskedPtr& asked, bool force);
-    void answered(const AskedPtr& asked, ReadOutcome outcome, NodeId owner, bool wasHere, const PeerReply& reply);
-    void respond(const Asked& asked, ReadOutcome outcome, const PeerReply& reply);
+    void answerLocally(const PendingCallPtr& pending, bool bypassOwner);
+    void onReply(const PendingCallPtr& pending, ReadOutcome outcome, NodeId owner, bool wasLocal, const PeerReply& reply);
+    void respond(const PendingCall& pending, ReadOutcome outcome, const PeerReply& reply);
     // Returns the last known owner if it is alive, else the preferred one.
     NodeId ownerOf(const JobName& job) const;
-    void remember(const JobName& job, NodeId owner);
+    void rememberOwner(const JobName& job, NodeId owner);
 
     Context& context_;
     JobScheduler& scheduler_;
--- a/libs/serving/src/Relay.cpp
+++ b/libs/serving/src/Relay.cpp
@@ -7,7 +7,7 @@
 
 void Relay::handle(std::shared_ptr<http::Exchange> exchange, std::shared_ptr<const RouteTable> table, const Route& route)
 {
-    std::make_shared<RelayedRequest>(context_, std::move(exchange), std::move(table), route, open_)->begin();
+    std::make_shared<RelayedRequest>(context_, std::move(exchange), std::move(table), route, openCount_)->begin();
 }
 
 } // namespace jj
--- a/libs/serving/src/Relay.h
+++ b/libs/serving/src/Relay.h
@@ -19,11 +19,11 @@
     }
 
     void handle(std::shared_ptr<http::Exchange> exchange, std::shared_ptr<const RouteTable> table, const Route& route);
-    std::size_t open() const { return *open_; }
+    std::size_t openRequests() const { return *openCount_; }
 
 private:
     Context& context_;
-    std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> openCount_ = std::make_shared<std::size_t>(0);
 };
 
 } // namespace jj
--- a/libs/serving/src/RelayAnswer.cpp
+++ b/libs/serving/src/RelayAnswer.cpp
@@ -9,13 +9,13 @@
 
     // Callers accept a retry delay of at most a third of the time that they have left when the refusal reaches them. The margin
     // covers its transmission.
-    constexpr int retryShare = 3;
+    constexpr int retryDivisor = 3;
     constexpr Duration retryMargin = 20ms;
 
     constexpr int statusOk = 200;
     constexpr int firstNonSuccess = 300;
     constexpr int firstServerError = 500;
-    constexpr int misdirected = 421;
+    constexpr int statusMisdirected = 421;
 
 } // namespace
 
@@ -28,7 +28,7 @@
     phase_ = Phase::Reading;
     head_ = head;
     context_.observe(engine_, head.headers_);
-    rejected_ = head.headers_.has(context_.translation_.headers_.notExecuted_) || head.status_ == misdirected;
+    rejected_ = head.headers_.has(context_.translation_.headers_.notExecuted_) || head.status_ == statusMisdirected;
 }
 
 void RelayedRequest::onData(std::string_view data)
@@ -41,10 +41,10 @@
         return;
     }
     scanner_.feed(data, [this](const StreamEvent& event) { onEvent(event); });
-    if (phase_ != Phase::Reading || ready_.empty())
+    if (phase_ != Phase::Reading || pendingEvents_.empty())
         return;
-    exchange_->write(ready_);
-    ready_.clear();
+    exchange_->write(pendingEvents_);
+    pendingEvents_.clear();
 }
 
 void RelayedRequest::onEvent(const StreamEvent& event)
@@ -52,21 +52,21 @@
     if (phase_ != Phase::Reading)
         return;
     // Event ids must be consecutive, otherwise the resumed stream would skip or repeat events.
-    const bool isOutOfStep = started_ && lastEvent_ && event.id_ && *event.id_ != *lastEvent_ + 1;
-    if (isOutOfStep) {
+    const bool isDiscontinuous = hasAnswerStarted_ && lastEvent_ && event.id_ && *event.id_ != *lastEvent_ + 1;
+    if (isDiscontinuous) {
         line("streamOutOfStep").with("expected", *lastEvent_ + 1).with("got", *event.id_);
         return lost(http::Error::Malformed);
     }
-    if (!started_) {
-        started_ = true;
+    if (!hasAnswerStarted_) {
+        hasAnswerStarted_ = true;
         context_.board_.succeeded(engine_, context_.now());
-        exchange_->start(head_.status_, passedHeaders(head_.headers_));
-        context_.metrics_.metrics_.observe(context_.metrics_.firstEvent_, toMilliseconds(context_.now() - arrived_));
-        line("firstEvent").with("afterMs", context_.now() - arrived_).with("engineMs", context_.now() - sentAt_).with("objectiveMs", route_.targetLatency_);
+        exchange_->start(head_.status_, endToEndHeaders(head_.headers_));
+        context_.metrics_.metrics_.observe(context_.metrics_.firstEvent_, toMilliseconds(context_.now() - arrivedAt_));
+        line("firstEvent").with("afterMs", context_.now() - arrivedAt_).with("engineMs", context_.now() - sentAt_).with("objectiveMs", route_.targetLatency_);
     }
     if (event.id_)
         lastEvent_ = event.id_;
-    ready_.append(event.raw_);
+    pendingEvents_.append(event.raw_);
 }
 
 void RelayedRequest::onEnd()
@@ -75,68 +75,68 @@
         return;
     call_ = nullptr;
     if (!rejected_)
-        context_.suspects_.recordAnswer(content(), context_.now());
+        context_.crashSuspects_.recordAnswer(contentFingerprint(), context_.now());
     // A 4xx status other than 421 and 429 means that the request itself is at fault. That answer is forwarded to the caller even
     // if the engine did not execute the request.
-    const bool isCallersFault = head_.status_ >= 400 && head_.status_ < firstServerError && head_.status_ != 429 && head_.status_ != misdirected;
+    const bool isCallersFault = head_.status_ >= 400 && head_.status_ < firstServerError && head_.status_ != 429 && head_.status_ != statusMisdirected;
     if (rejected_ && !isCallersFault)
-        return notExecuted();
+        return onNotExecuted();
     if (head_.status_ >= firstServerError)
         context_.failed(engine_, EngineFault::Failure, {});
     else
         context_.board_.succeeded(engine_, context_.now());
     if (isStream() && head_.status_ == statusOk)
         return finishStream();
-    const bool mayRunAgain = head_.status_ >= firstServerError && route_.isRepeatable() && runs_ < route_.maxAttempts_ && left() > Duration::zero() && !started_;
+    const bool mayRunAgain = head_.status_ >= firstServerError && route_.isRepeatable() && runs_ < route_.maxAttempts_ && timeLeft() > Duration::zero() && !hasAnswerStarted_;
     if (mayRunAgain) {
         line("runAgain").with("status", head_.status_).with("runs", runs_);
-        leaveEngine();
+        releaseEngine();
         context_.metrics_.metrics_.add(context_.metrics_.resent_);
         return dispatch();
     }
-    passWhole();
+    forwardBufferedAnswer();
 }
 
-void RelayedRequest::passWhole()
+void RelayedRequest::forwardBufferedAnswer()
 {
-    if (started_)
+    if (hasAnswerStarted_)
         return lost(http::Error::Truncated); // an error response instead of the rest of a stream
-    http::Response response { head_.status_, passedHeaders(head_.headers_), std::move(body_) };
+    http::Response response { head_.status_, endToEndHeaders(head_.headers_), std::move(body_) };
     exchange_->respond(response);
     const bool isSuccess = head_.status_ < firstNonSuccess;
     if (isSuccess) {
         context_.board_.recordRunTime(context_.now() - sentAt_);
-        context_.metrics_.metrics_.observe(context_.metrics_.firstEvent_, toMilliseconds(context_.now() - arrived_));
+        context_.metrics_.metrics_.observe(context_.metrics_.firstEvent_, toMilliseconds(context_.now() - arrivedAt_));
     }
     context_.metrics_.metrics_.add(isSuccess ? context_.metrics_.answered_ : context_.metrics_.failed_);
-    line("answered").with("status", head_.status_).with("afterMs", context_.now() - arrived_).with("runs", runs_);
+    line("answered").with("status", head_.status_).with("afterMs", context_.now() - arrivedAt_).with("runs", runs_);
     end();
 }
 
 void RelayedRequest::finishStream()
 {
-    if (!started_) {
-        exchange_->start(head_.status_, passedHeaders(head_.headers_));
-        started_ = true;
+    if (!hasAnswerStarted_) {
+        exchange_->start(head_.status_, endToEndHeaders(head_.headers_));
+        hasAnswerStarted_ = true;
     }
     if (!scanner_.rest().empty())
         exchange_->write(scanner_.rest());
     exchange_->end();
     context_.board_.recordRunTime(context_.now() - sentAt_);
     context_.metrics_.metrics_.add(context_.metrics_.answered_);
-    line("answered").with("status", head_.status_).with("afterMs", context_.now() - arrived_).with("runs", runs_).with("lastEvent", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
+    line("answered").with("status", head_.status_).with("afterMs", context_.now() - arrivedAt_).with("runs", runs_).with("lastEvent", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
     end();
 }
 
-void RelayedRequest::notExecuted()
+void RelayedRequest::onNotExecuted()
 {
     line("notExecuted").with("status", head_.status_).with("offer", offers_);
-    if (head_.status_ == misdirected)
+    if (head_.status_ == statusMisdirected)
         context_.failed(engine_, EngineFault::NotConnected, {});
     else
         context_.board_.recordFullRefusal(engine_, context_.now());
     --runs_;
-    leaveEngine();
+    releaseEngine();
     dispatch();
 }
 
@@ -149,13 +149,13 @@
         line("notConnected").with("error", failure.code_.message()).with("offer", offers_);
         context_.failed(engine_, EngineFault::NotConnected, failure.code_);
         --runs_;
-        leaveEngine();
+        releaseEngine();
         return dispatch();
     }
     // The response head stated that the request was not executed; only the rest of that answer was lost.
     if (rejected_)
-        return notExecuted();
-    context_.suspects_.lost(content(), engine_, context_.now());
+        return onNotExecuted();
+    context_.crashSuspects_.lost(contentFingerprint(), engine_, context_.now());
     context_.failed(engine_, EngineFault::Lost, failure.code_);
     lost(failure.code_);
 }
@@ -163,22 +163,22 @@
 // Handles a lost or unusable answer to a request that the engine may have run: sends the request again if allowed, else fails it.
 void RelayedRequest::lost(std::error_code error)
 {
-    const bool mayGoOn = route_.isRepeatable() && runs_ < std::max(route_.maxAttempts_, 1U) && left() > Duration::zero() && (isStream() || !started_);
-    line("answerLost").with("error", error.message()).with("runs", runs_).with("started", started_ ? "yes" : "no").with("goesOn", mayGoOn ? "yes" : "no").with("lastEvent", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
-    if (!ready_.empty()) {
-        exchange_->write(ready_);
-        ready_.clear();
+    const bool mayResend = route_.isRepeatable() && runs_ < std::max(route_.maxAttempts_, 1U) && timeLeft() > Duration::zero() && (isStream() || !hasAnswerStarted_);
+    line("answerLost").with("error", error.message()).with("runs", runs_).with("started", hasAnswerStarted_ ? "yes" : "no").with("goesOn", mayResend ? "yes" : "no").with("lastEvent", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
+    if (!pendingEvents_.empty()) {
+        exchange_->write(pendingEvents_);
+        pendingEvents_.clear();
     }
-    leaveEngine();
-    const bool wasAsked = phase_ != Phase::Picking;
-    if (mayGoOn && wasAsked) {
+    releaseEngine();
+    const bool wasSent = phase_ != Phase::Picking;
+    if (mayResend && wasSent) {
         context_.metrics_.metrics_.add(context_.metrics_.resent_);
         return dispatch();
     }
-    if (!started_)
+    if (!hasAnswerStarted_)
         return fail(502, "engine.AnswerLost", "the engine's answer was lost; the request may have run", RunState::OutcomeUnknown);
     exchange_->abort();
-    context_.metrics_.metrics_.add(context_.metrics_.brokenOff_);
+    context_.metrics_.metrics_.add(context_.metrics_.aborted_);
     end();
 }
 
@@ -186,20 +186,20 @@
 
 void RelayedRequest::refuse(std::string_view reason, Duration wait)
 {
-    const Duration most = std::max<Duration>(left() / retryShare - retryMargin, Duration::zero());
+    const Duration maxRetryDelay = std::max<Duration>(timeLeft() / retryDivisor - retryMargin, Duration::zero());
     const Duration rest = context_.queue_->refused(service_, wait, context_.now());
-    const Duration retry = std::clamp<Duration>(rest, std::min(leastRetryAfter, most), std::max(most, Duration(1ms)));
-    exchange_->respond(refusal(context_.translation_, 503, "overload.NoSlot", "no engine can run the request in time; it was not run", RunState::NotRun, retry));
+    const Duration retry = std::clamp<Duration>(rest, std::min(minRetryAfter, maxRetryDelay), std::max(maxRetryDelay, Duration(1ms)));
+    exchange_->respond(refusalResponse(context_.translation_, 503, "overload.NoSlot", "no engine can run the request in time; it was not run", RunState::NotRun, retry));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
-    line("refused").with("reason", reason).with("status", 503).with("retryAfterMs", retry).with("afterMs", context_.now() - arrived_);
+    line("refused").with("reason", reason).with("status", 503).with("retryAfterMs", retry).with("afterMs", context_.now() - arrivedAt_);
     end();
 }
 
 void RelayedRequest::fail(int status, std::string_view code, std::string_view message, RunState run)
 {
-    exchange_->respond(refusal(context_.translation_, status, code, message, run, {}));
+    exchange_->respond(refusalResponse(context_.translation_, status, code, message, run, {}));
     context_.metrics_.metrics_.add(context_.metrics_.failed_);
-    line("failed").with("status", status).with("code", code).with("afterMs", context_.now() - arrived_).with("runs", runs_);
+    line("failed").with("status", status).with("code", code).with("afterMs", context_.now() - arrivedAt_).with("runs", runs_);
     end();
 }
 
@@ -207,30 +207,30 @@
 {
     if (phase_ == Phase::Ended)
         return;
-    line("timedOut").with("runs", runs_).with("started", started_ ? "yes" : "no");
+    line("timedOut").with("runs", runs_).with("started", hasAnswerStarted_ ? "yes" : "no");
     const bool ran = mayHaveRun();
-    leaveEngine();
-    if (started_) {
+    releaseEngine();
+    if (hasAnswerStarted_) {
         exchange_->abort();
-        context_.metrics_.metrics_.add(context_.metrics_.brokenOff_);
+        context_.metrics_.metrics_.add(context_.metrics_.aborted_);
         return end();
     }
     if (ran)
         return fail(504, "request.TimedOut", "no answer within the request's timeout; the request may have run", RunState::OutcomeUnknown);
-    refuse("timedOut", leastRetryAfter);
+    refuse("timedOut", minRetryAfter);
 }
 
-void RelayedRequest::onCallerLeft()
+void RelayedRequest::onCallerDisconnected()
 {
     if (phase_ == Phase::Ended)
         return;
-    line("callerLeft").with("afterMs", context_.now() - arrived_).with("started", started_ ? "yes" : "no").with("runs", runs_);
-    context_.metrics_.metrics_.add(context_.metrics_.left_);
-    leaveEngine();
+    line("callerLeft").with("afterMs", context_.now() - arrivedAt_).with("started", hasAnswerStarted_ ? "yes" : "no").with("runs", runs_);
+    context_.metrics_.metrics_.add(context_.metrics_.disconnected_);
+    releaseEngine();
     end();
 }
 
-void RelayedRequest::leaveEngine()
+void RelayedRequest::releaseEngine()
 {
     if (!ticket_.isNone()) {
         context_.queue_->leave(ticket_);
@@ -243,16 +243,16 @@
     call_ = nullptr;
     context_.board_.ended(engine_, WorkClass::OnlineRequest);
     engine_ = UpstreamId::none();
-    context_.queue_->slotEnded();
+    context_.queue_->onSlotFreed();
     context_.fleet_->publishReport();
 }
 
 void RelayedRequest::end()
 {
-    leaveEngine();
+    releaseEngine();
     phase_ = Phase::Ended;
     timer_.cancel();
-    slotTimer_.cancel();
+    preemptionTimer_.cancel();
 }
 
 } // namespace jj
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -12,17 +12,17 @@
 
     // Maximum number of engines that a request is sent to. Each one that rejects it or can't be connected to costs a round trip,
     // and after four of them the load counts behind the choice are evidently wrong.
-    constexpr std::size_t mostOffers = 4;
+    constexpr std::size_t maxOffers = 4;
     // A resumable stream moves to another engine after its engine has been silent for this long. This is several times the
     // longest step of a fully loaded engine, and well before the caller gives up.
-    constexpr Duration resumableSilence = 1200ms;
+    constexpr Duration resumableSilenceTimeout = 1200ms;
     // An engine sends the first event within about 25 ms. If it has not arrived after twice that time, the request is waiting for
     // a slot.
-    constexpr Duration slotAskStep = 50ms;
-    constexpr std::size_t mostSlotAsks = 4;
+    constexpr Duration preemptionRetryDelay = 50ms;
+    constexpr std::size_t maxPreemptionRequests = 4;
     // A request stays queued for up to this many times its target latency: a late answer is better for the caller than an even
     // later retry.
-    constexpr int keepTargets = 4;
+    constexpr int queueTargetMultiple = 4;
     // Used if the caller does not state how long it waits.
     constexpr Duration defaultDeadline = 30s;
 
@@ -50,8 +50,8 @@
     const http::Request& request = exchange_->request();
     id_ = request.headers_.find(context_.translation_.headers_.attemptId_);
     const Duration patience = deadlineOf(request, context_.translation_.headers_);
-    deadline_ = arrived_ + std::min(patience, route_.timeout_);
-    hasReturned_ = context_.queue_->isProbableRetry(route_.name_, patience, arrived_);
+    deadline_ = arrivedAt_ + std::min(patience, route_.timeout_);
+    wasRefusedBefore_ = context_.queue_->isProbableRetry(route_.name_, patience, arrivedAt_);
     service_ = RouteTable::pickService(route_, hash64(id_));
     if (const std::string_view resume = request.headers_.find(context_.translation_.headers_.resumeAfter_); !resume.empty()) {
         std::uint64_t event = 0;
@@ -60,7 +60,7 @@
     }
     exchange_->onClosed([weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->onCallerLeft();
+            self->onCallerDisconnected();
     });
     timer_.expires_at(deadline_);
     // The timer's handler keeps the request alive while neither an engine call nor the queue refers to it.
@@ -73,11 +73,11 @@
 
 // Returns how long the first event may still take to meet the target latency. A request that is sent again after an engine was
 // lost may already be late. Its answer is then worth less, but it still gets at least half of the time left until its deadline.
-Duration RelayedRequest::pickBound() const
+Duration RelayedRequest::firstEventBudget() const
 {
-    const Duration inTime = route_.targetLatency_ - (context_.now() - arrived_);
-    if (started_ || mayHaveRun())
-        return std::max(inTime, left() / 2);
+    const Duration inTime = route_.targetLatency_ - (context_.now() - arrivedAt_);
+    if (hasAnswerStarted_ || mayHaveRun())
+        return std::max(inTime, timeLeft() / 2);
     return inTime;
 }
 
@@ -86,78 +86,78 @@
     if (phase_ == Phase::Ended)
         return;
     phase_ = Phase::Picking;
-    if (crashesEngines())
-        return block();
+    if (isContentBlocked())
+        return refuseBlocked();
     const TimePoint now = context_.now();
-    const Duration bound = pickBound();
-    EnginePick pick = offers_ < mostOffers ? context_.board_.pickOnline(service_, bound, route_.isRepeatable(), tried_, now) : EnginePick {};
+    const Duration budget = firstEventBudget();
+    EnginePick pick = offers_ < maxOffers ? context_.board_.pickOnline(service_, budget, route_.isRepeatable(), tried_, now) : EnginePick {};
     // A free slot goes to the requests that are already queued. If the queue is too long for this request to be served in time,
     // it must not take that slot either, because a queued request is about to take it.
-    const bool isFree = pick.kind_ == PickKind::Free || pick.kind_ == PickKind::PreemptsBatch;
-    if (isFree && context_.board_.waiting(service_) == 0)
+    const bool hasSlot = pick.kind_ == PickKind::Free || pick.kind_ == PickKind::PreemptsBatch;
+    if (hasSlot && context_.board_.waiting(service_) == 0)
         return send(pick);
-    if (offers_ < mostOffers && enqueue(bound))
+    if (offers_ < maxOffers && enqueue(budget))
         return;
     pick.wait_ = std::max(pick.wait_, context_.board_.queueWait(service_, now));
     const CapacityBoard::Usage usage = context_.board_.usage(service_);
     line("noEngine").with("service", service_).with("offers", offers_).with("runs", runs_).with("slots", usage.slots_).with("questions", usage.onlineRequests_).with("batchItems", usage.batchItems_).with("waitMs", pick.wait_);
-    if (started_ || mayHaveRun())
+    if (hasAnswerStarted_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
     refuse(usage.slots_ == 0 ? "noEngine" : "noSlotInTime", pick.wait_);
 }
 
 // Refuses a request whose content has crashed engines. If an engine may have started this attempt, it fails instead, because a
 // refusal states that the request did not run.
-void RelayedRequest::block()
+void RelayedRequest::refuseBlocked()
 {
-    if (started_ || mayHaveRun())
+    if (hasAnswerStarted_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
-    exchange_->respond(refusal(context_.translation_, 503, "request.CrashesEngines", "engines crashed while running requests with this content; the request was not run", RunState::NotRun, CrashSuspects::blockDuration));
+    exchange_->respond(refusalResponse(context_.translation_, 503, "request.CrashesEngines", "engines crashed while running requests with this content; the request was not run", RunState::NotRun, CrashSuspects::blockDuration));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
-    line("refused").with("reason", "crashesEngines").with("status", 503).with("afterMs", context_.now() - arrived_);
+    line("refused").with("reason", "crashesEngines").with("status", 503).with("afterMs", context_.now() - arrivedAt_);
     end();
 }
 
 // Returns the time at which a queued request is given up. Callers abandon a stream that sends nothing for seconds, so a late
 // request is refused well before that, with a retry delay. A request that resumes after a lost engine starts a new waiting time:
 // its caller already has the first part of the answer, which would be wasted if the request failed for lack of a slot.
-TimePoint RelayedRequest::keepUntil() const
+TimePoint RelayedRequest::queueDeadline() const
 {
-    const TimePoint from = started_ || mayHaveRun() ? context_.now() : arrived_;
-    return std::min(from + route_.targetLatency_ * keepTargets, deadline_ - leastRetryAfter);
+    const TimePoint from = hasAnswerStarted_ || mayHaveRun() ? context_.now() : arrivedAt_;
+    return std::min(from + route_.targetLatency_ * queueTargetMultiple, deadline_ - minRetryAfter);
 }
 
-bool RelayedRequest::enqueue(Duration bound)
+bool RelayedRequest::enqueue(Duration budget)
 {
     const TimePoint now = context_.now();
-    const bool isWorthIt = hasReturned_ || context_.board_.canQueueInTime(service_, bound, now);
-    if (!isWorthIt || now >= keepUntil())
+    const bool shouldQueue = wasRefusedBefore_ || context_.board_.canQueueInTime(service_, budget, now);
+    if (!shouldQueue || now >= queueDeadline())
         return false;
     phase_ = Phase::Waiting;
-    SlotQueue::Waiter waiter;
-    waiter.service_ = service_;
-    waiter.repeatable_ = route_.isRepeatable();
-    waiter.tried_ = tried_;
-    waiter.inTimeUntil_ = now + bound - context_.board_.settings().firstEventTime_;
-    waiter.keepUntil_ = keepUntil();
-    waiter.take_ = [self = shared_from_this()](const EnginePick& pick) {
+    SlotQueue::QueuedRequest queued;
+    queued.service_ = service_;
+    queued.repeatable_ = route_.isRepeatable();
+    queued.tried_ = tried_;
+    queued.inTimeUntil_ = now + budget - context_.board_.settings().firstEventTime_;
+    queued.queueDeadline_ = queueDeadline();
+    queued.onSlot_ = [self = shared_from_this()](const EnginePick& pick) {
         self->ticket_ = QueueTicket::none();
         self->send(pick);
     };
-    waiter.giveUp_ = [self = shared_from_this()] {
+    queued.onExpired_ = [self = shared_from_this()] {
         self->ticket_ = QueueTicket::none();
-        self->giveUpWaiting();
+        self->onQueueTimeout();
     };
-    ticket_ = context_.queue_->enter(std::move(waiter));
+    ticket_ = context_.queue_->enter(std::move(queued));
     line("linedUp").with("waiting", context_.board_.waiting(service_)).with("waitMs", context_.board_.queueWait(service_, now));
-    context_.queue_->mayHaveRoom();
+    context_.queue_->onCapacityChanged();
     return true;
 }
 
-void RelayedRequest::giveUpWaiting()
+void RelayedRequest::onQueueTimeout()
 {
     phase_ = Phase::Picking;
-    if (started_ || mayHaveRun())
+    if (hasAnswerStarted_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
     refuse("noSlotCame", context_.board_.queueWait(service_, context_.now()));
 }
@@ -179,29 +179,29 @@
     scanner_.reset();
     context_.board_.started(engine_, WorkClass::OnlineRequest);
     if (pick.kind_ == PickKind::PreemptsBatch) {
-        context_.metrics_.metrics_.add(context_.metrics_.displaced_);
-        slotAsks_ = 0;
-        askForSlot();
+        context_.metrics_.metrics_.add(context_.metrics_.preemptions_);
+        preemptionRequests_ = 0;
+        requestPreemption();
     }
     if (pick.kind_ == PickKind::Queues)
         context_.metrics_.metrics_.add(context_.metrics_.queued_);
     context_.fleet_->publishReport();
 
     http::Request outgoing { request.method_, request.target_, {}, request.body_ };
-    for (const http::Header& header : passedHeaders(request.headers_)) {
-        const bool isOurs = header.name_ == names.timeLeft_ || header.name_ == names.expectInstance_ || (started_ && header.name_ == names.resumeAfter_);
-        if (!isOurs)
+    for (const http::Header& header : endToEndHeaders(request.headers_)) {
+        const bool isReplaced = header.name_ == names.timeLeft_ || header.name_ == names.expectInstance_ || (hasAnswerStarted_ && header.name_ == names.resumeAfter_);
+        if (!isReplaced)
             outgoing.headers_.add(header.name_, header.value_);
     }
-    outgoing.headers_.add(names.timeLeft_, std::to_string(std::max<std::int64_t>(1, left() / 1ms)));
+    outgoing.headers_.add(names.timeLeft_, std::to_string(std::max<std::int64_t>(1, timeLeft() / 1ms)));
     outgoing.headers_.add(names.expectInstance_, entry->name_);
-    if (started_ && lastEvent_)
+    if (hasAnswerStarted_ && lastEvent_)
         outgoing.headers_.add(names.resumeAfter_, std::to_string(*lastEvent_));
     static constexpr std::string_view kinds[] = { "none", "free", "displaces", "queues" };
     const EngineUse use = context_.board_.useOf(engine_);
-    line("sent").with("engine", entry->name_).with("pick", kinds[static_cast<std::size_t>(pick.kind_)]).with("offer", offers_).with("questions", use.onlineRequests_).with("batchItems", use.batchItems_).with("sinceArrivalMs", sentAt_ - arrived_).with("resumeAfter", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
+    line("sent").with("engine", entry->name_).with("pick", kinds[static_cast<std::size_t>(pick.kind_)]).with("offer", offers_).with("questions", use.onlineRequests_).with("batchItems", use.batchItems_).with("sinceArrivalMs", sentAt_ - arrivedAt_).with("resumeAfter", lastEvent_ ? static_cast<std::int64_t>(*lastEvent_) : -1);
     http::CallOptions options;
-    options.idle_ = route_.isRepeatable() && isStream() ? std::min(resumableSilence, left()) : left() + 1s;
+    options.idle_ = route_.isRepeatable() && isStream() ? std::min(resumableSilenceTimeout, timeLeft()) : timeLeft() + 1s;
     options.echoName_ = names.attemptId_;
     options.echoValue_ = id_;
     http::CallHandlers handlers;
@@ -215,28 +215,28 @@
 // Asks a node that runs a batch item on the engine to preempt it. The datagram may be lost, or that node may already have
 // preempted the item for another online request. This request would then wait at the engine until some run ends, which delayed
 // first events by 100 to 400 ms when two online requests preempted items on one engine. The nodes are therefore asked in turn, up
-// to mostSlotAsks times, until the engine responds.
-void RelayedRequest::askForSlot()
+// to maxPreemptionRequests times, until the engine responds.
+void RelayedRequest::requestPreemption()
 {
     const auto holders = context_.board_.nodesRunningBatch(engine_);
-    if (holders.empty() || slotAsks_ >= mostSlotAsks)
+    if (holders.empty() || preemptionRequests_ >= maxPreemptionRequests)
         return;
-    context_.fleet_->requestPreemption(holders[slotAsks_ % holders.size()], engine_);
-    ++slotAsks_;
-    slotTimer_.expires_after(slotAskStep);
-    slotTimer_.async_wait([weak = weak_from_this(), offer = offers_](const boost::system::error_code& error) {
+    context_.fleet_->requestPreemption(holders[preemptionRequests_ % holders.size()], engine_);
+    ++preemptionRequests_;
+    preemptionTimer_.expires_after(preemptionRetryDelay);
+    preemptionTimer_.async_wait([weak = weak_from_this(), offer = offers_](const boost::system::error_code& error) {
         const auto self = weak.lock();
         if (!error && self && self->phase_ == Phase::Sent && self->offers_ == offer)
-            self->askForSlot();
+            self->requestPreemption();
     });
 }
 
-Fingerprint RelayedRequest::content() const
+Fingerprint RelayedRequest::contentFingerprint() const
 {
     const http::Request& request = exchange_->request();
     return CrashSuspects::fingerprintOf(request.headers_.find("Host"), request.target_, request.body_);
 }
 
-bool RelayedRequest::crashesEngines() const { return !context_.suspects_.hasNoMarks() && context_.suspects_.isBlocked(content(), context_.now()); }
+bool RelayedRequest::isContentBlocked() const { return !context_.crashSuspects_.hasNoMarks() && context_.crashSuspects_.isBlocked(contentFingerprint(), context_.now()); }
 
 } // namespace jj
--- a/libs/serving/src/RelayedRequest.h
+++ b/libs/serving/src/RelayedRequest.h
@@ -19,7 +19,7 @@
 public:
     // Minimum retry delay for a refused caller, a fraction of the time that an online request occupies a slot. A caller that
     // retried sooner would find the same engines full.
-    static constexpr Duration leastRetryAfter = 150ms;
+    static constexpr Duration minRetryAfter = 150ms;
 
     RelayedRequest(Context& context, std::shared_ptr<http::Exchange> exchange, std::shared_ptr<const RouteTable> table, const Route& route, std::shared_ptr<std::size_t> open)
         : context_(context)
@@ -27,14 +27,14 @@
         , table_(std::move(table))
         , route_(route)
         , timer_(context.io_)
-        , slotTimer_(context.io_)
-        , open_(std::move(open))
-        , arrived_(context.now())
+        , preemptionTimer_(context.io_)
+        , openCount_(std::move(open))
+        , arrivedAt_(context.now())
     {
-        ++*open_;
+        ++*openCount_;
     }
 
-    ~RelayedRequest() { --*open_; }
+    ~RelayedRequest() { --*openCount_; }
     RelayedRequest(const RelayedRequest&) = delete;
     RelayedRequest& operator=(const RelayedRequest&) = delete;
 
@@ -50,10 +50,10 @@
     };
 
     void dispatch();
-    void block();
+    void refuseBlocked();
     // Queues the request for a slot. Returns false if no slot is expected to become free in time.
-    bool enqueue(Duration bound);
-    void giveUpWaiting();
+    bool enqueue(Duration budget);
+    void onQueueTimeout();
     void send(const EnginePick& pick);
     void onHead(const http::ResponseHead& head);
     void onData(std::string_view data);
@@ -61,27 +61,27 @@
     void onError(const http::CallFailure& failure);
     void onEvent(const StreamEvent& event);
 
-    void notExecuted();
-    void askForSlot();
+    void onNotExecuted();
+    void requestPreemption();
     void lost(std::error_code error);
-    void passWhole();
+    void forwardBufferedAnswer();
     void finishStream();
     void refuse(std::string_view reason, Duration wait);
     void fail(int status, std::string_view code, std::string_view message, RunState run);
     void onTimeout();
-    void onCallerLeft();
+    void onCallerDisconnected();
     // Leaves the slot queue, or cancels the call to the engine and frees its slot.
-    void leaveEngine();
+    void releaseEngine();
     void end();
 
     bool isStream() const { return route_.kind_ == RouteKind::Streaming; }
     bool mayHaveRun() const { return runs_ > 0; }
-    Duration left() const { return deadline_ - context_.now(); }
+    Duration timeLeft() const { return deadline_ - context_.now(); }
     // Returns a fingerprint that is the same for all of a caller's attempts at this request.
-    Fingerprint content() const;
-    bool crashesEngines() const;
-    Duration pickBound() const;
-    TimePoint keepUntil() const;
+    Fingerprint contentFingerprint() const;
+    bool isContentBlocked() const;
+    Duration firstEventBudget() const;
+    TimePoint queueDeadline() const;
     DecisionLog::Line line(std::string_view event);
 
     Context& context_;
@@ -89,14 +89,14 @@
     std::shared_ptr<const RouteTable> table_; // keeps route_ alive
     const Route& route_;
     boost::asio::steady_timer timer_;
-    boost::asio::steady_timer slotTimer_; // until another node is asked to preempt a batch item
-    std::size_t slotAsks_ = 0;
-    std::shared_ptr<std::size_t> open_;
-    const TimePoint arrived_;
+    boost::asio::steady_timer preemptionTimer_; // until another node is asked to preempt a batch item
+    std::size_t preemptionRequests_ = 0;
+    std::shared_ptr<std::size_t> openCount_;
+    const TimePoint arrivedAt_;
     TimePoint deadline_ {};
     std::string service_;
     std::string id_;
-    bool hasReturned_ = false; // the caller was probably refused before and would give up after another refusal
+    bool wasRefusedBefore_ = false; // the caller was probably refused before and would give up after another refusal
 
     Phase phase_ = Phase::Picking;
     std::vector<UpstreamId> tried_;
@@ -109,10 +109,10 @@
 
     http::ResponseHead head_; // of the answer being received
     bool rejected_ = false; // the answer states that the engine did not run the request
-    bool started_ = false; // the response head has been sent to the caller
+    bool hasAnswerStarted_ = false; // the response head has been sent to the caller
     std::string body_; // of an answer that is not streamed
     EventScanner scanner_;
-    std::string ready_; // complete events that are not yet written to the caller
+    std::string pendingEvents_; // complete events that are not yet written to the caller
     std::optional<std::uint64_t> lastEvent_;
 };
 
--- a/libs/serving/src/ReportExchange.cpp
+++ b/libs/serving/src/ReportExchange.cpp
@@ -167,9 +167,9 @@
     if (rank >= cells_.delegates(ownCell()).size())
         return;
     const KnownVersions versions = outlets_.ownVersions_();
-    const bool hasNewVersion = versions.config_ + versions.engines_ > sentVersionSum_ && now - summarizedAt_ >= minVersionInterval;
-    const bool isDue = isDirty_ && now - summarizedAt_ >= summaryPeriod(rank);
-    if (hasNewVersion || isDue || now - summarizedAt_ >= summaryRefreshPeriod)
+    const bool hasNewVersion = versions.config_ + versions.engines_ > sentVersionSum_ && now - lastSummaryAt_ >= minVersionInterval;
+    const bool isDue = isDirty_ && now - lastSummaryAt_ >= summaryPeriod(rank);
+    if (hasNewVersion || isDue || now - lastSummaryAt_ >= summaryRefreshPeriod)
         sendSummary(rank, now);
     const bool hasNew = std::any_of(receivedSummaries_.begin(), receivedSummaries_.end(), [](const auto& entry) { return !entry.second.isForwarded_; });
     if (hasNew && now - forwardedAt_ >= summaryPeriod(rank))
@@ -214,7 +214,7 @@
 {
     const CellSummary summary = ownSummary(now);
     isDirty_ = false;
-    summarizedAt_ = now;
+    lastSummaryAt_ = now;
     sentVersionSum_ = summary.configVersion_ + summary.enginesVersion_;
     std::vector<NodeId> receivers;
     for (const CellId cell : cells_.cells()) {
--- a/libs/serving/src/ReportExchange.h
+++ b/libs/serving/src/ReportExchange.h
@@ -114,7 +114,7 @@
     bool leaving_ = false;
 
     bool isDirty_ = false; // reports were published or received since the last summary, so the load of this cell may have changed
-    TimePoint summarizedAt_ {};
+    TimePoint lastSummaryAt_ {};
     TimePoint forwardedAt_ {};
     std::uint64_t sentVersionSum_ = 0; // sum of both versions in the last summary; neither ever decreases
     std::map<CellId, ReceivedSummary> receivedSummaries_; // the newest received summary of each other cell
--- a/libs/serving/src/ServingNode.cpp
+++ b/libs/serving/src/ServingNode.cpp
@@ -40,25 +40,25 @@
         }
     };
 
-    constexpr Duration scanAfterLoss = 150ms;
+    constexpr Duration scanDelayAfterLoss = 150ms;
     // Membership has discovered all nodes this long after the start. In an earlier scan a live owner could be taken for dead.
-    constexpr Duration firstScan = 600ms;
+    constexpr Duration firstScanDelay = 600ms;
     // A lost transfer only delays the job, since the new owner also finds it by scanning the store.
-    constexpr Duration transferBound = 600ms;
+    constexpr Duration transferTimeout = 600ms;
     // Descriptors reserved for engines, peers, the store and files; the rest are for caller connections.
     constexpr std::size_t reservedDescriptors = 700;
-    constexpr std::size_t leastConnections = 64;
-    constexpr std::string_view noKey = "0000000000000000000000000000000000000000000000000000000000000000";
+    constexpr std::size_t minCallerConnections = 64;
+    constexpr std::string_view zeroKey = "0000000000000000000000000000000000000000000000000000000000000000";
 
     // Selects the processes, one in eight, that read a long first list of engines from the store themselves; the others receive it
     // from those. The seed differs at each start, so the selection does too.
     bool readsLongLists(std::uint64_t seed)
     {
-        constexpr std::uint64_t part = 8;
-        return seed % part == 0;
+        constexpr std::uint64_t divisor = 8;
+        return seed % divisor == 0;
     }
 
-    NodeId selfOf(const ServingSettings& settings)
+    NodeId ownNodeId(const ServingSettings& settings)
     {
         const auto at = PeerAddress::parse(toString(settings.peers_));
         return at ? nodeIdOf(at.value()) : NodeId::none();
@@ -87,13 +87,13 @@
     , translation_(translation)
     , reload_(std::move(reload))
     , log_(settings.name_, settings.logLinesPerSecond_, STDOUT_FILENO)
-    , counts_(metrics_)
+    , servingMetrics_(metrics_)
     , incarnation_(static_cast<std::uint64_t>(SystemClock().wallNow().time_since_epoch().count()))
     , seed_(mixHash(hash64(settings.name_), incarnation_.value()))
     , random_(seed_)
-    , board_(CapacitySettings(), selfOf(settings), { CellId::none(), idFromName<RegionId>(settings.region_), idFromName<FailureDomainId>(settings.domain_) }, seed_)
+    , board_(CapacitySettings(), ownNodeId(settings), { CellId::none(), idFromName<RegionId>(settings.region_), idFromName<FailureDomainId>(settings.domain_) }, seed_)
     , engines_(io_, { .connectTime_ = 250ms, .pooledIdle_ = 12s, .pooledPerEndpoint_ = 32, .headerBytes_ = 32 * 1024, .bodyBytes_ = 16 * 1024 * 1024 })
-    , context_ { io_, settings_, translation_, log_, counts_, board_, engines_ }
+    , context_ { io_, settings_, translation_, log_, servingMetrics_, board_, engines_ }
     , timer_(io_)
     , signals_(io_, SIGTERM, SIGINT, SIGHUP)
 {
@@ -101,7 +101,7 @@
 
 std::optional<Failure> ServingNode::Parts::build()
 {
-    const std::string keyText = settings_.keyFile_.empty() ? std::string(noKey) : readWord(settings_.keyFile_);
+    const std::string keyText = settings_.keyFile_.empty() ? std::string(zeroKey) : readWord(settings_.keyFile_);
     const auto key = WireKey::fromHex(keyText);
     if (!key)
         return Failure { ServingError::KeyUnreadable, settings_.keyFile_ };
@@ -120,7 +120,7 @@
     const TimePoint now = context_.now();
     board_.setStart(now);
     board_.setHasConnection([this](const Endpoint& engine) { return engines_.hasPooled(engine); });
-    scanAt_ = now + firstScan;
+    nextScanAt_ = now + firstScanDelay;
     log_.line("started").with("callers", settings_.callers_ ? toString(*settings_.callers_) : "").with("peers", toString(settings_.peers_)).with("store", toString(settings_.store_)).with("runsJobs", settings_.runsJobs_ ? "yes" : "no").with("incarnation", incarnation_.value());
     return std::nullopt;
 }
@@ -138,20 +138,20 @@
     link.queue_.longestBackoff_ = 500ms;
     link.queue_.hedges_ = 2;
     store_ = std::make_unique<StoreLink>(io_, link, translation_, log_, seed_);
-    store_->setPeerRoute([this](const ObjectCall& call, Duration bound, StoreLink::Completion done) { return routeToPeer(call, bound, std::move(done)); });
+    store_->setPeerRoute([this](const ObjectCall& call, Duration timeout, StoreLink::Completion done) { return sendThroughPeer(call, timeout, std::move(done)); });
     for (const std::string& kind : { std::string(cancelMarkKind), translation_.keys_.retirements_ })
-        kinds_.push_back(std::make_unique<KindWatch>(*store_, kind, [this](const std::string& key) { foundObject(key); }));
+        kindWatches_.push_back(std::make_unique<KindWatch>(*store_, kind, [this](const std::string& key) { onObjectFound(key); }));
     config_ = std::make_unique<ConfigFollower>(
         *store_, translation_, log_, FollowerTimes(), [this](const auto& table) { onConfig(table); }, [this] { requestUpdate(); });
     const auto changed = [this](const EngineEntry& entry) {
-        board_.upsert(inCell(entry));
+        board_.upsert(withCell(entry));
         fleet_->publishReport();
     };
     const auto removed = [this](const EngineEntry& entry) {
         board_.remove(entry.id_);
         fleet_->publishReport();
     };
-    catalog_ = std::make_unique<EngineCatalog>(translation_, log_, settings_.regions_, changed, removed);
+    catalog_ = std::make_unique<EngineCatalog>(translation_, log_, settings_.regionOfDomain_, changed, removed);
     feed_ = std::make_unique<EngineFeed<StoreLink, SystemClock>>(clock_, *store_, translation_, log_, FollowerTimes(), settings_.engineGrace_, readsLongLists(seed_), *catalog_, [this] { requestUpdate(); });
 }
 
@@ -183,7 +183,7 @@
     return std::nullopt;
 }
 
-EngineEntry ServingNode::Parts::inCell(EngineEntry entry) const
+EngineEntry ServingNode::Parts::withCell(EngineEntry entry) const
 {
     entry.cell_ = fleet_->cells().cellOf(entry.region_, entry.domain_, entry.id_.value());
     return entry;
@@ -194,12 +194,12 @@
     FleetHandlers handlers;
     handlers.ownReport_ = [this] {
         NodeReport report;
-        runner_->markFirm(context_.now());
+        runner_->updateNonPreemptibleItems(context_.now());
         report.use_ = board_.ownUse(context_.now());
         report.configVersion_ = config_->version();
         report.enginesVersion_ = catalog_->version();
         report.watching_ = feed_->isFollowing() && !store_->isUnreachable();
-        report.spoolsJobs_ = takesCopies();
+        report.spoolsJobs_ = acceptsSpooledJobs();
         report.isStoreUnreachable_ = store_->isDirectFailing();
         report.spooledJobs_ = spool_ ? static_cast<std::uint32_t>(spool_->size()) : 0;
         return report;
@@ -209,26 +209,26 @@
     handlers.onReport_ = [this](const NodeReport& report, bool isSameCell) {
         if (isSameCell) {
             board_.applyReport(report.use_, context_.now());
-            queue_->mayHaveRoom();
+            queue_->onCapacityChanged();
         }
-        versionsHeard({ report.configVersion_, report.enginesVersion_ });
+        onVersionsReceived({ report.configVersion_, report.enginesVersion_ });
     };
     handlers.onCell_ = [this](const CellSummary& summary, TimePoint at) {
         board_.applyCellReport(summary.use_, at);
-        queue_->mayHaveRoom();
-        versionsHeard({ summary.configVersion_, summary.enginesVersion_ });
+        queue_->onCapacityChanged();
+        onVersionsReceived({ summary.configVersion_, summary.enginesVersion_ });
     };
-    handlers.onPreemptRequest_ = [this](const PreemptRequest& request) { onGiveWay(request); };
+    handlers.onPreemptRequest_ = [this](const PreemptRequest& request) { onPreemptionRequest(request); };
     handlers.onCellsChanged_ = [this] {
         std::vector<CellId> others = fleet_->cells().cells();
         std::erase(others, fleet_->ownCell());
         board_.setCells(fleet_->ownCell(), others);
-        catalog_->forEach([this](const EngineEntry& entry) { board_.upsert(inCell(entry)); });
+        catalog_->forEach([this](const EngineEntry& entry) { board_.upsert(withCell(entry)); });
         fleet_->publishReport();
     };
     handlers.onCrashMark_ = [this](Fingerprint mark, Duration remaining) {
         log_.line("crashMarkLearned").with("mark", mark.value());
-        context_.suspects_.addPeerMark(mark, remaining, context_.now());
+        context_.crashSuspects_.addPeerMark(mark, remaining, context_.now());
     };
     handlers.onNodeDown_ = [this](NodeId node) {
         board_.dropNodeReport(node);
@@ -236,8 +236,8 @@
         const Peer* peer = fleet_->peer(node);
         if (peer && !peer->runsJobs_)
             return;
-        scanAt_ = std::min(scanAt_, context_.now() + scanAfterLoss);
-        freshScan_ = true;
+        nextScanAt_ = std::min(nextScanAt_, context_.now() + scanDelayAfterLoss);
+        needsFreshScan_ = true;
     };
     handlers.onRejoined_ = [this] { scheduler_->recheckOwnership(context_.now()); };
     handlers.onCall_ = [this](PeerCall call, const std::function<void(PeerReply)>& reply) { onPeerCall(std::move(call), reply); };
@@ -254,7 +254,7 @@
     outlets.stop_ = [this](RunId run) { runner_->stop(run); };
     outlets.transfer_ = [this](NodeId to, JobTransfer job) {
         const std::string name = job.job_;
-        fleet_->request(to, AdoptRequest { std::move(job) }, transferBound, [this, name](const Result<PeerReply>& reply) {
+        fleet_->request(to, AdoptRequest { std::move(job) }, transferTimeout, [this, name](const Result<PeerReply>& reply) {
             if (!reply)
                 log_.line("transferLost").with("job", name).with("error", reply.error().message());
         });
@@ -268,7 +268,7 @@
             line.with("error", event.error_.message());
     };
     outlets.mayBeReplaced_ = [this] { return fleet_->mayBeReplaced(); };
-    outlets.mayBeSpooled_ = [this] { return mayBeKept(); };
+    outlets.mayBeSpooled_ = [this] { return mayHaveSpooledJobs(); };
     outlets.serviceOf_ = [this](std::string_view host, std::string_view path) -> std::optional<std::string> {
         if (!context_.table_)
             return std::nullopt;
@@ -283,7 +283,7 @@
         fleet_->beginLeaving();
         scheduler_->beginLeaving(context_.now());
     };
-    retirement_ = std::make_unique<RetirementDuty>(*store_, translation_, log_, settings_.name_, begin, [this] { return hasHandedOn(); });
+    retirement_ = std::make_unique<RetirementDuty>(*store_, translation_, log_, settings_.name_, begin, [this] { return hasHandedOverAll(); });
 }
 
 // If the disk can't be used, the node works without a spool and jobs are spooled on other hosts.
@@ -292,19 +292,19 @@
     if (settings_.diskFolder_.empty())
         return;
     // The spool may fill a quarter of the disk. The rest is for files that are being replaced and for other programs.
-    constexpr std::size_t usedPart = 4;
+    constexpr std::size_t spoolDivisor = 4;
     auto disk = FileDisk::open(settings_.diskFolder_ + "/jobs");
     if (!disk) {
         log_.line("diskUnusable").with("folder", settings_.diskFolder_).with("error", disk.error().message());
         return;
     }
     SpoolSettings spool;
-    spool.maxBytes_ = settings_.diskBytes_ / usedPart;
+    spool.maxBytes_ = settings_.diskBytes_ / spoolDivisor;
     SpoolOutlets outlets;
     outlets.store_ = [this](ObjectCall call, CallClass callClass, TimePoint until, SettledCompletion done) { store_->send(std::move(call), callClass, until, std::move(done)); };
     outlets.isStoreUnavailable_ = [this] { return store_->isUnreachable(); };
     outlets.ownerOf_ = [this](const JobName& job) { return fleet_->preferredOwner(job, fleet_->self()); };
-    outlets.notifyOwner_ = [this](const JobName& job, const Acceptance& acceptance) { jobs_->handToOwner(job, acceptance); };
+    outlets.notifyOwner_ = [this](const JobName& job, const Acceptance& acceptance) { jobs_->sendToOwner(job, acceptance); };
     outlets.note_ = [this](SpoolNote note, const JobName& job, std::error_code error) {
         auto line = log_.line(toString(note));
         line.with("job", job);
@@ -316,18 +316,18 @@
     spool_->load(context_.now());
 }
 
-bool ServingNode::Parts::mayBeKept() const
+bool ServingNode::Parts::mayHaveSpooledJobs() const
 {
     // Hosts upload the jobs they spooled during an outage within about 3 s of its end. The start of this node counts as the end
     // of an outage, because no peer has reported its spooled jobs yet.
-    constexpr Duration broughtWithin = 5s;
-    const bool wasAway = store_->isUnreachable() || context_.now() - store_->reachableSince() < broughtWithin;
+    constexpr Duration uploadTime = 5s;
+    const bool wasAway = store_->isUnreachable() || context_.now() - store_->reachableSince() < uploadTime;
     return wasAway || (spool_ && spool_->size() > 0) || fleet_->hasPeerWithSpooledJobs();
 }
 
 std::size_t ServingNode::Parts::callerConnections() const
 {
-    return std::max(leastConnections, settings_.descriptors_ - std::min(settings_.descriptors_, reservedDescriptors));
+    return std::max(minCallerConnections, settings_.descriptors_ - std::min(settings_.descriptors_, reservedDescriptors));
 }
 
 std::optional<Failure> ServingNode::Parts::openServers()
@@ -341,7 +341,7 @@
             return http::BodyPlan { false, context_.table_ ? context_.table_->limits().bodyBytes_ : CallerLimits().bodyBytes_ };
         };
         auto opened = http::Server::create(
-            io_, server, [this](std::shared_ptr<http::Exchange> exchange) { onCaller(std::move(exchange)); }, planner);
+            io_, server, [this](std::shared_ptr<http::Exchange> exchange) { onCallerRequest(std::move(exchange)); }, planner);
         if (!opened)
             return Failure { ServingError::CallersListenFailed, toString(*settings_.callers_) };
         callers_ = std::move(opened.value());
@@ -357,7 +357,7 @@
     if (settings_.metrics_) {
         http::ServerSettings server;
         server.listen_ = *settings_.metrics_;
-        auto opened = http::Server::create(io_, server, [this](const std::shared_ptr<http::Exchange>& exchange) { onOperator(exchange); });
+        auto opened = http::Server::create(io_, server, [this](const std::shared_ptr<http::Exchange>& exchange) { onOperatorRequest(exchange); });
         if (!opened)
             return Failure { ServingError::MetricsListenFailed, toString(*settings_.metrics_) };
         metricsServer_ = std::move(opened.value());
@@ -383,7 +383,7 @@
 void ServingNode::run()
 {
     parts_->waitForSignal();
-    parts_->turn();
+    parts_->scheduleTick();
     parts_->io_.run();
     parts_->log_.flush();
 }
--- a/libs/serving/src/ServingParts.h
+++ b/libs/serving/src/ServingParts.h
@@ -34,44 +34,44 @@
     void buildStore();
     void buildScheduler();
     void buildSpool();
-    bool takesCopies() const { return spool_ && !draining_ && !fleet_->isLeaving(); }
+    bool acceptsSpooledJobs() const { return spool_ && !draining_ && !fleet_->isLeaving(); }
     // Returns whether some job may be spooled on a host's disk without being in the store yet.
-    bool mayBeKept() const;
-    bool hasHandedOn() const { return scheduler_->hasLeft() && (!spool_ || spool_->size() == 0); }
+    bool mayHaveSpooledJobs() const;
+    bool hasHandedOverAll() const { return scheduler_->hasLeft() && (!spool_ || spool_->size() == 0); }
     FleetHandlers fleetHandlers();
 
-    void turn();
+    void scheduleTick();
     void tick();
     void probeEngines(TimePoint now);
     void scanJobs(TimePoint now);
-    void summarize(TimePoint now);
-    void onCaller(std::shared_ptr<http::Exchange> exchange);
+    void logSummary(TimePoint now);
+    void onCallerRequest(std::shared_ptr<http::Exchange> exchange);
     // Answers a request at the metrics address: the metrics, the fleet as this node knows it, or the owner of a job.
-    void onOperator(const std::shared_ptr<http::Exchange>& exchange);
+    void onOperatorRequest(const std::shared_ptr<http::Exchange>& exchange);
     void onPeerCall(PeerCall call, const std::function<void(PeerReply)>& reply);
     // Sends a store call through a peer. Returns false if there is no live peer.
-    bool routeToPeer(const ObjectCall& call, Duration bound, StoreLink::Completion done);
+    bool sendThroughPeer(const ObjectCall& call, Duration timeout, StoreLink::Completion done);
     void requestUpdate();
     // Returns the entry with its cell filled in, as the capacity board needs it.
-    EngineEntry inCell(EngineEntry entry) const;
+    EngineEntry withCell(EngineEntry entry) const;
     // Handles a report that a peer has these versions.
-    void versionsHeard(KnownVersions versions);
-    void onGiveWay(const PreemptRequest& request);
-    NodeId updateSource();
-    void chooseWatching();
+    void onVersionsReceived(KnownVersions versions);
+    void onPreemptionRequest(const PreemptRequest& request);
+    NodeId chooseUpdateSource();
+    void updateWatchRole();
     // Handles a retirement or a cancellation mark that this node found by watching the store, and notifies the hosts in its region
     // that run jobs.
-    void foundObject(const std::string& key);
+    void onObjectFound(const std::string& key);
     void notifyWorker(NodeId worker, const std::string& key, int tries);
     // Handles a retirement or a cancellation mark that this node or a peer found. Ignored if this host runs no jobs.
-    void meetObject(const std::string& key);
+    void handleObject(const std::string& key);
     void onConfig(const std::shared_ptr<const RouteTable>& table);
     void waitForSignal();
     void reload();
     bool isReady() const { return !draining_ && context_.table_ && catalog_->isInitialized(); }
     void beginDrain();
     void continueDrain(TimePoint now);
-    NodeId anyPeer(bool ownRegionFirst);
+    NodeId nextPeer(bool ownRegionFirst);
     void answerUpdateRequest(const UpdateRequest& request, const std::function<void(PeerReply)>& reply);
 
     ServingSettings settings_;
@@ -81,7 +81,7 @@
     boost::asio::io_context io_ { 1 };
     DecisionLog log_;
     Metrics metrics_;
-    ServingMetrics counts_;
+    ServingMetrics servingMetrics_;
     Incarnation incarnation_;
     std::uint64_t seed_;
     std::mt19937_64 random_;
@@ -102,27 +102,27 @@
     std::unique_ptr<SlotQueue> queue_;
     std::unique_ptr<Relay> relay_;
     std::unique_ptr<RetirementDuty> retirement_;
-    std::vector<std::unique_ptr<KindWatch>> kinds_; // kinds of objects that concern hosts that run jobs
-    std::map<std::string, TimePoint> foundAt_; // keys of recently handled objects of these kinds
+    std::vector<std::unique_ptr<KindWatch>> kindWatches_; // kinds of objects that concern hosts that run jobs
+    std::map<std::string, TimePoint> handledAt_; // keys of recently handled objects of these kinds
     std::unique_ptr<http::Server> callers_;
     std::unique_ptr<http::Server> ready_;
     std::unique_ptr<http::Server> metricsServer_;
     boost::asio::steady_timer timer_;
     boost::asio::signal_set signals_;
     std::set<UpstreamId> probing_;
-    std::size_t peerTurn_ = 0;
-    TimePoint scanAt_ {};
-    TimePoint summarizedAt_ {};
+    std::size_t nextPeerIndex_ = 0;
+    TimePoint nextScanAt_ {};
+    TimePoint lastSummaryAt_ {};
     bool watching_ = false;
-    TimePoint watchChoiceAt_ {};
+    TimePoint nextWatchChoiceAt_ {};
     bool updateRequested_ = false;
-    TimePoint updateAgainAt_ = neverTime;
+    TimePoint updateRetryAt_ = neverTime;
     UpdateBudget updateBudget_;
-    bool freshScan_ = true; // the next scan must not use stale data
+    bool needsFreshScan_ = true; // the next scan must not use stale data
     bool draining_ = false;
     bool listening_ = true;
-    TimePoint drainBegan_ {};
-    TimePoint endAt_ = neverTime;
+    TimePoint drainStartedAt_ {};
+    TimePoint exitAt_ = neverTime;
 };
 
 } // namespace jj
--- a/libs/serving/src/ServingSettings.cpp
+++ b/libs/serving/src/ServingSettings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    std::optional<Endpoint> endpointOf(SectionReader& reader, std::string_view key, bool mayBeAbsent)
+    std::optional<Endpoint> readEndpoint(SectionReader& reader, std::string_view key, bool mayBeAbsent)
     {
         const std::string text = reader.text(key, mayBeAbsent ? std::optional<std::string>("") : std::nullopt);
         if (text.empty())
@@ -28,9 +28,9 @@
             if (colon == std::string::npos)
                 reader.fail(SettingsError::BadValue, "regions", pair, "domain:region pairs");
             else
-                settings.regions_[pair.substr(0, colon)] = pair.substr(colon + 1);
+                settings.regionOfDomain_[pair.substr(0, colon)] = pair.substr(colon + 1);
         }
-        settings.regions_[settings.domain_] = settings.region_;
+        settings.regionOfDomain_[settings.domain_] = settings.region_;
     }
 
     void readNode(const IniText& text, ServingSettings& settings, Failures& failures)
@@ -40,10 +40,10 @@
         settings.domain_ = reader.text("failure-domain");
         settings.region_ = reader.text("region");
         readRegions(reader, settings);
-        settings.callers_ = endpointOf(reader, "callers", true);
-        settings.ready_ = endpointOf(reader, "ready", true);
-        settings.metrics_ = endpointOf(reader, "metrics", true);
-        settings.peers_ = endpointOf(reader, "peers", false).value_or(Endpoint {});
+        settings.callers_ = readEndpoint(reader, "callers", true);
+        settings.ready_ = readEndpoint(reader, "ready", true);
+        settings.metrics_ = readEndpoint(reader, "metrics", true);
+        settings.peers_ = readEndpoint(reader, "peers", false).value_or(Endpoint {});
         for (const std::string& seed : reader.list("seeds")) {
             const std::string host = seed.substr(0, seed.rfind(':'));
             if (parseEndpoint(host + ":1"))
@@ -59,7 +59,7 @@
     void readPlatform(const IniText& text, ServingSettings& settings, Failures& failures)
     {
         SectionReader reader(text, "platform", failures);
-        settings.store_ = endpointOf(reader, "store", false).value_or(Endpoint {});
+        settings.store_ = readEndpoint(reader, "store", false).value_or(Endpoint {});
         settings.storeReadsPerSecond_ = reader.real("reads-per-second", { 1, 1e6 }, settings.storeReadsPerSecond_);
         settings.storeWritesPerSecond_ = reader.real("writes-per-second", { 1, 1e6 }, settings.storeWritesPerSecond_);
         reader.finish();
@@ -68,12 +68,12 @@
     void readBounds(const IniText& text, ServingSettings& settings, Failures& failures)
     {
         SectionReader reader(text, "bounds", failures);
-        settings.grace_ = reader.milliseconds("grace-ms", { 100, 3'600'000 }, settings.grace_ / 1ms);
+        settings.shutdownGrace_ = reader.milliseconds("grace-ms", { 100, 3'600'000 }, settings.shutdownGrace_ / 1ms);
         settings.engineGrace_ = reader.milliseconds("engine-grace-ms", { 0, 60'000 }, settings.engineGrace_ / 1ms);
-        settings.acceptBound_ = reader.milliseconds("accept-ms", { 10, 60'000 }, settings.acceptBound_ / 1ms);
-        settings.lostHosts_ = static_cast<std::uint32_t>(reader.integer("lost-hosts", { 0, 100 }, settings.lostHosts_));
-        settings.lostDomains_ = static_cast<std::uint32_t>(reader.integer("lost-domains", { 0, 100 }, settings.lostDomains_));
-        settings.lostRegions_ = static_cast<std::uint32_t>(reader.integer("lost-regions", { 0, 100 }, settings.lostRegions_));
+        settings.acceptTimeout_ = reader.milliseconds("accept-ms", { 10, 60'000 }, settings.acceptTimeout_ / 1ms);
+        settings.tolerableHostLosses_ = static_cast<std::uint32_t>(reader.integer("lost-hosts", { 0, 100 }, settings.tolerableHostLosses_));
+        settings.tolerableDomainLosses_ = static_cast<std::uint32_t>(reader.integer("lost-domains", { 0, 100 }, settings.tolerableDomainLosses_));
+        settings.tolerableRegionLosses_ = static_cast<std::uint32_t>(reader.integer("lost-regions", { 0, 100 }, settings.tolerableRegionLosses_));
         reader.finish();
     }
 
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -13,37 +13,37 @@
 
     constexpr Duration tickPeriod = 20ms;
     // The platform checks readiness every second and removes a node after two failed checks. New connections arrive until then.
-    constexpr Duration leavingNoticed = 2300ms;
+    constexpr Duration drainNoticeTime = 2300ms;
     // The process exits this long before the end of the grace period, after which it would be killed.
     constexpr Duration graceMargin = 400ms;
     // Time to send the last datagrams to peers before the process exits.
-    constexpr Duration farewell = 100ms;
+    constexpr Duration finalSendTime = 100ms;
     constexpr Duration summaryPeriod = 10s;
     // The watchers are chosen from the reports of the last second, so the choice is repeated more often than that.
     constexpr Duration watchChoicePeriod = 100ms;
     // Every node that runs jobs lists the job heads at this interval, from possibly stale data. The loss of a node triggers an
     // earlier scan, which finds the jobs it owned.
     constexpr Duration scanPeriod = 4s;
-    constexpr Duration updateBound = 600ms;
+    constexpr Duration updateTimeout = 600ms;
     // Mean delay before the next update request if a peer has too many requesters or does not answer.
-    constexpr Duration busyRetry = 100ms;
-    constexpr int mostNotices = 3;
+    constexpr Duration busyRetryDelay = 100ms;
+    constexpr int maxNotifyAttempts = 3;
     // An object found again within this time is a duplicate from the other watcher of the region.
-    constexpr Duration foundAgainAfter = 500ms;
+    constexpr Duration duplicateWindow = 500ms;
     constexpr Duration notReadyRetry = 300ms;
 
 } // namespace
 
 // ---- periodic work
 
-void ServingNode::Parts::turn()
+void ServingNode::Parts::scheduleTick()
 {
     timer_.expires_after(tickPeriod);
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (error)
             return;
         tick();
-        turn();
+        scheduleTick();
     });
 }
 
@@ -53,12 +53,12 @@
     const WallTime wall = SystemClock().wallNow();
     fleet_->tick(now, wall);
     store_->tick(now);
-    chooseWatching();
+    updateWatchRole();
     config_->tick(now);
     feed_->tick(now);
-    if (now >= updateAgainAt_)
+    if (now >= updateRetryAt_)
         requestUpdate();
-    context_.suspects_.tick(now);
+    context_.crashSuspects_.tick(now);
     scheduler_->tick(now, wall);
     jobs_->tick(now);
     if (spool_)
@@ -71,14 +71,14 @@
         retirement_->tick();
     // A host that runs no jobs needs these objects only while it watches the store for other hosts.
     if (settings_.runsJobs_ || watching_) {
-        for (const auto& kind : kinds_)
+        for (const auto& kind : kindWatches_)
             kind->tick(now);
     }
     probeEngines(now);
     scanJobs(now);
     if (draining_)
         continueDrain(now);
-    summarize(now);
+    logSummary(now);
     log_.flushIfDue(now);
 }
 
@@ -94,13 +94,13 @@
 }
 
 // Logs the node's load and its store calls by kind every summaryPeriod.
-void ServingNode::Parts::summarize(TimePoint now)
+void ServingNode::Parts::logSummary(TimePoint now)
 {
-    if (now - summarizedAt_ < summaryPeriod)
+    if (now - lastSummaryAt_ < summaryPeriod)
         return;
-    summarizedAt_ = now;
+    lastSummaryAt_ = now;
     auto line = log_.line("summary");
-    line.with("requests", relay_->open()).with("items", runner_->running()).with("jobs", scheduler_->openJobs()).with("config", config_->version()).with("peers", fleet_->livePeers()).with("linesDroppedTotal", log_.dropped());
+    line.with("requests", relay_->openRequests()).with("items", runner_->running()).with("jobs", scheduler_->openJobs()).with("config", config_->version()).with("peers", fleet_->livePeers()).with("linesDroppedTotal", log_.dropped());
     for (const auto& [call, count] : store_->callCounts())
         line.with(std::string("store ").append(call), count);
 }
@@ -108,11 +108,11 @@
 void ServingNode::Parts::scanJobs(TimePoint now)
 {
     const bool mayOwn = settings_.runsJobs_ || scheduler_->loadedJobs() > 0;
-    if (now < scanAt_ || !mayOwn || draining_)
+    if (now < nextScanAt_ || !mayOwn || draining_)
         return;
-    scanAt_ = now + scanPeriod;
-    scheduler_->scan(!freshScan_, now);
-    freshScan_ = false;
+    nextScanAt_ = now + scanPeriod;
+    scheduler_->scan(!needsFreshScan_, now);
+    needsFreshScan_ = false;
 }
 
 void ServingNode::Parts::onConfig(const std::shared_ptr<const RouteTable>& table)
@@ -133,19 +133,19 @@
 
 // ---- callers
 
-void ServingNode::Parts::onCaller(std::shared_ptr<http::Exchange> exchange)
+void ServingNode::Parts::onCallerRequest(std::shared_ptr<http::Exchange> exchange)
 {
     const http::Request& request = exchange->request();
     const auto table = context_.table_;
     if (!table)
-        return exchange->respond(refusal(translation_, 503, "config.None", "this node has no configuration yet", RunState::NotRun, notReadyRetry));
+        return exchange->respond(refusalResponse(translation_, 503, "config.None", "this node has no configuration yet", RunState::NotRun, notReadyRetry));
     const std::string_view host = request.headers_.find("Host");
     if (auto call = translation_.parseJobRequest_(request); call && table->findBatchRoute(host))
         return jobs_->call(std::move(exchange), std::move(*call));
     const Route* route = table->select(host, request.target_);
     if (!route) {
         log_.line("noRoute").with("request", request.headers_.find(translation_.headers_.attemptId_)).with("host", host).with("path", request.path()).with("config", table->version());
-        return exchange->respond(refusal(translation_, 404, "route.None", "no route matches this host and path", RunState::NotRun, {}));
+        return exchange->respond(refusalResponse(translation_, 404, "route.None", "no route matches this host and path", RunState::NotRun, {}));
     }
     if (route->kind_ == RouteKind::Batch)
         return jobs_->submit(exchange, *route);
@@ -154,7 +154,7 @@
 
 // ---- operators
 
-void ServingNode::Parts::onOperator(const std::shared_ptr<http::Exchange>& exchange)
+void ServingNode::Parts::onOperatorRequest(const std::shared_ptr<http::Exchange>& exchange)
 {
     constexpr std::string_view jobsPath = "/jobs/";
     const std::string_view path = exchange->request().path();
@@ -165,12 +165,12 @@
         return exchange->respond({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, metrics_.prometheusText() });
     const JobName job(path.substr(jobsPath.size()));
     if (!isValidJobName(job))
-        return exchange->respond(refusal(translation_, 400, "job.BadName", "invalid job name", RunState::NotRun, {}));
+        return exchange->respond(refusalResponse(translation_, 400, "job.BadName", "invalid job name", RunState::NotRun, {}));
     scheduler_->locate(job, context_.now(), [this, exchange, job, isJson](const JobScheduler::JobLocation& place) {
         if (place.outcome_ == ReadOutcome::Missing)
-            return exchange->respond(refusal(translation_, 404, "job.NotFound", "no such job", RunState::NotRun, {}));
+            return exchange->respond(refusalResponse(translation_, 404, "job.NotFound", "no such job", RunState::NotRun, {}));
         if (place.outcome_ != ReadOutcome::Found)
-            return exchange->respond(refusal(translation_, 503, "job.Unsure", "the store is unavailable", RunState::NotRun, notReadyRetry));
+            return exchange->respond(refusalResponse(translation_, 503, "job.Unsure", "the store is unavailable", RunState::NotRun, notReadyRetry));
         const std::string owner = place.owner_ == fleet_->self() ? fleet_->address() : fleet_->addressOf(place.owner_);
         const json::object body { { "job", job }, { "owner", owner }, { "ownerLives", fleet_->isLive(place.owner_) }, { "state", toString(place.state_) }, { "items", place.total_ } };
         exchange->respond({ 200, { isJson }, json::serialize(body) });
@@ -179,7 +179,7 @@
 
 // ---- peers
 
-NodeId ServingNode::Parts::anyPeer(bool ownRegionFirst)
+NodeId ServingNode::Parts::nextPeer(bool ownRegionFirst)
 {
     std::vector<NodeId> near;
     std::vector<NodeId> far;
@@ -189,16 +189,16 @@
     }
     const std::vector<NodeId>& from = ownRegionFirst && !near.empty() ? near : far.empty() ? near
                                                                                            : far;
-    return from.empty() ? NodeId::none() : from[peerTurn_++ % from.size()];
+    return from.empty() ? NodeId::none() : from[nextPeerIndex_++ % from.size()];
 }
 
-bool ServingNode::Parts::routeToPeer(const ObjectCall& call, Duration bound, StoreLink::Completion done)
+bool ServingNode::Parts::sendThroughPeer(const ObjectCall& call, Duration timeout, StoreLink::Completion done)
 {
-    const NodeId peer = anyPeer(true);
+    const NodeId peer = nextPeer(true);
     if (peer.isNone())
         return false;
     const bool isWrite = call.isWrite();
-    fleet_->request(peer, StoreRequest { call }, bound, [isWrite, done = std::move(done)](Result<PeerReply> reply) {
+    fleet_->request(peer, StoreRequest { call }, timeout, [isWrite, done = std::move(done)](Result<PeerReply> reply) {
         if (reply) {
             if (auto* answer = std::get_if<ObjectAnswer>(&reply.value()))
                 return done(std::move(*answer));
@@ -208,7 +208,7 @@
     return true;
 }
 
-void ServingNode::Parts::versionsHeard(KnownVersions versions)
+void ServingNode::Parts::onVersionsReceived(KnownVersions versions)
 {
     const TimePoint now = context_.now();
     config_->onPeerVersion(versions.config_, now);
@@ -217,9 +217,9 @@
 
 // Nodes of other cells know only the delegates of this cell and send their requests to those. A delegate that runs no item on the
 // engine forwards the request to a node of its cell that does.
-void ServingNode::Parts::onGiveWay(const PreemptRequest& request)
+void ServingNode::Parts::onPreemptionRequest(const PreemptRequest& request)
 {
-    if (runner_->giveWay(request.engine_, context_.now()) || request.isForwarded_)
+    if (runner_->preemptItem(request.engine_, context_.now()) || request.isForwarded_)
         return;
     for (const NodeId holder : board_.nodesRunningBatch(request.engine_)) {
         const auto& cellNodes = fleet_->cellNodes();
@@ -228,7 +228,7 @@
     }
 }
 
-NodeId ServingNode::Parts::updateSource()
+NodeId ServingNode::Parts::chooseUpdateSource()
 {
     std::vector<UpdatePeer> known;
     for (const Peer& peer : fleet_->peers()) {
@@ -240,17 +240,17 @@
 
 void ServingNode::Parts::requestUpdate()
 {
-    const NodeId peer = updateSource();
+    const NodeId peer = chooseUpdateSource();
     if (peer.isNone() || updateRequested_)
         return;
     updateRequested_ = true;
-    updateAgainAt_ = neverTime;
-    fleet_->request(peer, UpdateRequest { config_->version(), catalog_->version() }, updateBound, [this, peer](const Result<PeerReply>& reply) {
+    updateRetryAt_ = neverTime;
+    fleet_->request(peer, UpdateRequest { config_->version(), catalog_->version() }, updateTimeout, [this, peer](const Result<PeerReply>& reply) {
         updateRequested_ = false;
         const auto* update = reply ? std::get_if<UpdateReply>(&reply.value()) : nullptr;
         if (!update || update->isBusy_) {
             // The delay is random, so that nodes don't all retry at the same time.
-            updateAgainAt_ = context_.now() + std::chrono::milliseconds(std::uniform_int_distribution<int>(busyRetry / 2ms, busyRetry * 3 / 2ms)(random_));
+            updateRetryAt_ = context_.now() + std::chrono::milliseconds(std::uniform_int_distribution<int>(busyRetryDelay / 2ms, busyRetryDelay * 3 / 2ms)(random_));
             return;
         }
         if (!update->config_.empty())
@@ -277,30 +277,30 @@
 }
 
 // Decides whether this node watches the store. The other nodes receive changes from the watchers.
-void ServingNode::Parts::chooseWatching()
+void ServingNode::Parts::updateWatchRole()
 {
     const TimePoint now = context_.now();
-    if (now < watchChoiceAt_)
+    if (now < nextWatchChoiceAt_)
         return;
-    watchChoiceAt_ = now + watchChoicePeriod;
+    nextWatchChoiceAt_ = now + watchChoicePeriod;
     const bool shouldWatch = watchChoice_->shouldWatch(fleet_->watchPeers(), fleet_->isLeaving(), feed_->isFollowing(), now);
-    const bool follows = shouldWatch && (watching_ || watchChoice_->canStart(fleet_->isJoining(), now));
-    if (follows == watching_)
+    const bool watches = shouldWatch && (watching_ || watchChoice_->canStart(fleet_->isJoining(), now));
+    if (watches == watching_)
         return;
-    watching_ = follows;
-    log_.line(follows ? "watchBegan" : "watchLeft").with("config", config_->version()).with("engines", catalog_->version());
-    config_->setPassive(!follows);
-    feed_->setPassive(!follows);
-    for (const auto& kind : kinds_)
-        kind->setPassive(!follows);
+    watching_ = watches;
+    log_.line(watches ? "watchBegan" : "watchLeft").with("config", config_->version()).with("engines", catalog_->version());
+    config_->setPassive(!watches);
+    feed_->setPassive(!watches);
+    for (const auto& kind : kindWatches_)
+        kind->setPassive(!watches);
 }
 
 // If each host that runs jobs watched these kinds of objects itself, every cancellation mark would complete the held-open store
 // calls of all these hosts. On a day with 14 marks and 45 such hosts this caused 650 of 10,900 store calls. Therefore only the
 // nodes that watch the engines watch these objects, and they notify the other hosts.
-void ServingNode::Parts::foundObject(const std::string& key)
+void ServingNode::Parts::onObjectFound(const std::string& key)
 {
-    meetObject(key);
+    handleObject(key);
     if (!watching_)
         return;
     for (const Peer& peer : fleet_->peers()) {
@@ -311,20 +311,20 @@
 
 void ServingNode::Parts::notifyWorker(NodeId worker, const std::string& key, int tries)
 {
-    fleet_->request(worker, ObjectNotice { key }, updateBound, [this, worker, key, tries](const Result<PeerReply>& reply) {
-        if (!reply && tries + 1 < mostNotices)
+    fleet_->request(worker, ObjectNotice { key }, updateTimeout, [this, worker, key, tries](const Result<PeerReply>& reply) {
+        if (!reply && tries + 1 < maxNotifyAttempts)
             notifyWorker(worker, key, tries + 1);
     });
 }
 
-void ServingNode::Parts::meetObject(const std::string& key)
+void ServingNode::Parts::handleObject(const std::string& key)
 {
     if (!settings_.runsJobs_)
         return;
     const TimePoint now = context_.now();
-    std::erase_if(foundAt_, [now](const auto& entry) { return now - entry.second > foundAgainAfter; });
+    std::erase_if(handledAt_, [now](const auto& entry) { return now - entry.second > duplicateWindow; });
     // Two nodes of the region watch the store, so each object is usually reported twice.
-    if (!foundAt_.try_emplace(key, now).second)
+    if (!handledAt_.try_emplace(key, now).second)
         return;
     if (key.starts_with(translation_.keys_.retirements_))
         return retirement_->onOrderFound(key);
@@ -352,14 +352,14 @@
     if (const auto* request = std::get_if<BodyRequest>(&call))
         return scheduler_->body(request->job_, request->item_, false, now, [reply](BodyAnswer answer) { reply(std::move(answer)); });
     if (const auto* request = std::get_if<SpoolRequest>(&call))
-        return reply(SpoolReply { takesCopies() ? spool_->storeCopy(request->job_, now) : SpoolOutcome::Refused });
+        return reply(SpoolReply { acceptsSpooledJobs() ? spool_->storeCopy(request->job_, now) : SpoolOutcome::Refused });
     if (const auto* request = std::get_if<DropSpooledRequest>(&call)) {
         if (spool_)
             spool_->discardCopy(request->job_);
         return reply(SpoolReply { SpoolOutcome::Refused });
     }
     if (const auto* found = std::get_if<ObjectNotice>(&call)) {
-        meetObject(found->key_);
+        handleObject(found->key_);
         return reply(AdoptReply { true });
     }
     const auto& request = std::get<CancelJobRequest>(call);
@@ -383,16 +383,16 @@
 
 void ServingNode::Parts::reload()
 {
-    const auto fresh = reload_();
-    if (!fresh) {
-        log_.line("reloadRefused").with("faults", describe(fresh.error()));
+    const auto newSettings = reload_();
+    if (!newSettings) {
+        log_.line("reloadRefused").with("faults", describe(newSettings.error()));
         return;
     }
     // Only these two settings can change while the process runs. Others, such as addresses and the region, apply from its next
     // start.
-    settings_.acceptBound_ = fresh.value().acceptBound_;
-    settings_.grace_ = fresh.value().grace_;
-    log_.line("reloaded").with("graceMs", settings_.grace_).with("acceptMs", settings_.acceptBound_);
+    settings_.acceptTimeout_ = newSettings.value().acceptTimeout_;
+    settings_.shutdownGrace_ = newSettings.value().shutdownGrace_;
+    log_.line("reloaded").with("graceMs", settings_.shutdownGrace_).with("acceptMs", settings_.acceptTimeout_);
 }
 
 void ServingNode::Parts::beginDrain()
@@ -400,27 +400,27 @@
     if (draining_)
         return;
     draining_ = true;
-    drainBegan_ = context_.now();
-    log_.line("stopping").with("requests", relay_->open()).with("jobs", scheduler_->openJobs());
+    drainStartedAt_ = context_.now();
+    log_.line("stopping").with("requests", relay_->openRequests()).with("jobs", scheduler_->openJobs());
     fleet_->beginLeaving();
-    scheduler_->beginLeaving(drainBegan_);
+    scheduler_->beginLeaving(drainStartedAt_);
 }
 
 void ServingNode::Parts::continueDrain(TimePoint now)
 {
-    const Duration sofar = now - drainBegan_;
-    if (callers_ && listening_ && sofar >= leavingNoticed) {
+    const Duration elapsed = now - drainStartedAt_;
+    if (callers_ && listening_ && elapsed >= drainNoticeTime) {
         listening_ = false;
         callers_->drain();
     }
-    const bool isQuiet = (!callers_ || (!listening_ && callers_->openExchanges() == 0)) && hasHandedOn() && !store_->hasQueuedCalls();
-    const bool isLate = sofar >= settings_.grace_ - graceMargin;
-    if (endAt_ == neverTime && (isQuiet || isLate)) {
-        log_.line("stopped").with("late", isLate && !isQuiet ? "yes" : "no").with("requests", relay_->open()).with("jobs", scheduler_->openJobs());
+    const bool isDrained = (!callers_ || (!listening_ && callers_->openExchanges() == 0)) && hasHandedOverAll() && !store_->hasQueuedCalls();
+    const bool isLate = elapsed >= settings_.shutdownGrace_ - graceMargin;
+    if (exitAt_ == neverTime && (isDrained || isLate)) {
+        log_.line("stopped").with("late", isLate && !isDrained ? "yes" : "no").with("requests", relay_->openRequests()).with("jobs", scheduler_->openJobs());
         fleet_->finishLeaving();
-        endAt_ = now + farewell;
+        exitAt_ = now + finalSendTime;
     }
-    if (now < endAt_)
+    if (now < exitAt_)
         return;
     log_.flush();
     io_.stop();
--- a/libs/serving/src/SlotQueue.cpp
+++ b/libs/serving/src/SlotQueue.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     // A report takes 1 to 2 ms within a region, so by its turn the next node has received the report that the slot is taken.
-    constexpr Duration turnStep = 3ms;
+    constexpr Duration turnInterval = 3ms;
 
 } // namespace
 
@@ -20,22 +20,22 @@
 {
 }
 
-QueueTicket SlotQueue::enter(Waiter waiter)
+QueueTicket SlotQueue::enter(QueuedRequest queued)
 {
-    const std::string service = waiter.service_;
-    const QueueTicket ticket = queue_.enter(service, waiter.inTimeUntil_, waiter.keepUntil_);
-    waiters_[ticket] = std::move(waiter);
+    const std::string service = queued.service_;
+    const QueueTicket ticket = queue_.enter(service, queued.inTimeUntil_, queued.queueDeadline_);
+    queuedRequests_[ticket] = std::move(queued);
     publishWaiting(service);
     return ticket;
 }
 
 void SlotQueue::leave(QueueTicket ticket)
 {
-    const auto found = waiters_.find(ticket);
-    if (found == waiters_.end())
+    const auto found = queuedRequests_.find(ticket);
+    if (found == queuedRequests_.end())
         return;
     const std::string service = found->second.service_;
-    waiters_.erase(found);
+    queuedRequests_.erase(found);
     queue_.leave(ticket);
     publishWaiting(service);
 }
@@ -47,7 +47,7 @@
 }
 
 // Updates the counts of queued requests that can still be in time, which fall as time passes.
-void SlotQueue::countInTime(TimePoint now)
+void SlotQueue::refreshInTimeCounts(TimePoint now)
 {
     for (const std::string& service : queue_.services())
         context_.board_.setWaiting(service, queue_.size(service), queue_.inTime(service, now));
@@ -56,11 +56,11 @@
 void SlotQueue::tick(TimePoint now)
 {
     for (const QueueTicket ticket : queue_.expired(now)) {
-        const auto giveUp = std::move(waiters_.at(ticket).giveUp_);
+        const auto onExpired = std::move(queuedRequests_.at(ticket).onExpired_);
         leave(ticket);
-        giveUp();
+        onExpired();
     }
-    countInTime(now);
+    refreshInTimeCounts(now);
     pump(false);
 }
 
@@ -81,10 +81,10 @@
     const auto ticket = queue_.first(service, now);
     if (!ticket)
         return false;
-    Waiter& waiter = waiters_.at(*ticket);
+    QueuedRequest& queued = queuedRequests_.at(*ticket);
     // Accepts any free slot, even if the request will be late. The bound only affects waiting in an engine's own queue, which is
     // not accepted here.
-    const EnginePick pick = context_.board_.pickOnline(service, waiter.keepUntil_ - now, waiter.repeatable_, waiter.tried_, now);
+    const EnginePick pick = context_.board_.pickOnline(service, queued.queueDeadline_ - now, queued.repeatable_, queued.tried_, now);
     if (pick.kind_ != PickKind::Free && pick.kind_ != PickKind::PreemptsBatch)
         return false;
     const bool isInTime = queue_.isInTime(*ticket, now);
@@ -93,14 +93,14 @@
     const bool goesFirst = isOwnSlot && (isInTime || context_.board_.waitingInTime(service) == 0);
     const std::size_t ahead = goesFirst ? 0 : nodesAhead(service, pick.engine_, isInTime);
     if (ahead > 0 && !timerArmed_) {
-        pumpLater(turnStep * ahead);
+        schedulePump(turnInterval * ahead);
         return false;
     }
     if (ahead > 0)
         return false;
-    const auto take = std::move(waiter.take_);
+    const auto onSlot = std::move(queued.onSlot_);
     leave(*ticket);
-    take(pick);
+    onSlot(pick);
     return true;
 }
 
@@ -116,7 +116,7 @@
 }
 
 // Tries again when it is this node's turn. A slot that is still free then was not taken by any node with precedence.
-void SlotQueue::pumpLater(Duration delay)
+void SlotQueue::schedulePump(Duration delay)
 {
     timerArmed_ = true;
     timer_.expires_after(delay);
--- a/libs/serving/src/SlotQueue.h
+++ b/libs/serving/src/SlotQueue.h
@@ -28,24 +28,24 @@
 
 class SlotQueue {
 public:
-    struct Waiter {
+    struct QueuedRequest {
         std::string service_;
         bool repeatable_ = false;
         std::vector<UpstreamId> tried_;
         TimePoint inTimeUntil_ {}; // latest time of a slot with which the first event is still in time
-        TimePoint keepUntil_ {};
-        std::function<void(const EnginePick&)> take_; // called with the assigned slot, after the request has left the queue
-        std::function<void()> giveUp_; // called when keepUntil_ has passed, after the request has left the queue
+        TimePoint queueDeadline_ {};
+        std::function<void(const EnginePick&)> onSlot_; // called with the assigned slot, after the request has left the queue
+        std::function<void()> onExpired_; // called when queueDeadline_ has passed, after the request has left the queue
     };
 
     explicit SlotQueue(Context& context);
 
-    QueueTicket enter(Waiter waiter);
+    QueueTicket enter(QueuedRequest queued);
     void leave(QueueTicket ticket);
     // Assigns the slot of a stream of this node that has ended.
-    void slotEnded() { pump(true); }
+    void onSlotFreed() { pump(true); }
     // Checks for free slots after reports or engines have changed.
-    void mayHaveRoom() { pump(false); }
+    void onCapacityChanged() { pump(false); }
     void tick(TimePoint now);
     bool empty() const { return queue_.empty(); }
 
@@ -62,13 +62,13 @@
     bool serveOne(const std::string& service, bool isOwnSlot, TimePoint now);
     // Returns how many nodes have queued requests that take precedence over the first one of this node at the engine.
     std::size_t nodesAhead(const std::string& service, UpstreamId engine, bool isInTime) const;
-    void countInTime(TimePoint now);
-    void pumpLater(Duration delay);
+    void refreshInTimeCounts(TimePoint now);
+    void schedulePump(Duration delay);
     void publishWaiting(const std::string& service);
 
     Context& context_;
     WaitingQueue queue_;
-    std::map<QueueTicket, Waiter> waiters_;
+    std::map<QueueTicket, QueuedRequest> queuedRequests_;
     std::map<std::string, OverloadPredictor> phases_;
     RetryDetector patience_;
     boost::asio::steady_timer timer_;
--- a/libs/serving/src/Keepers.h
+++ b/libs/serving/src/SpoolReplicas.h
@@ -19,16 +19,16 @@
     std::size_t copies() const { return std::max({ hosts_, domains_, regions_ }) + 1U; }
 };
 
-struct KeeperCandidate {
+struct SpoolReplicaCandidate {
     NodeId node_;
     FailureDomainId domain_;
     RegionId region_;
-    bool near_ = false; // whether the host is in the region of the requesting node
+    bool isNear_ = false; // whether the host is in the region of the requesting node
 };
 
 // Returns losses.copies() hosts in more failure domains and more regions than may be lost. Prefers hosts that add a required
 // region, then hosts in a new failure domain, then nearby hosts. Ties are broken by a hash with `seed`, which spreads jobs over
 // the hosts. Returns an empty list if the candidates don't suffice, because a job with fewer copies must not be acknowledged.
-std::vector<NodeId> chooseKeepers(std::vector<KeeperCandidate> candidates, const TolerableLosses& losses, std::uint64_t seed);
+std::vector<NodeId> chooseSpoolReplicas(std::vector<SpoolReplicaCandidate> candidates, const TolerableLosses& losses, std::uint64_t seed);
 
 } // namespace jj
--- a/libs/serving/tests/DecisionLogTest.cpp
+++ b/libs/serving/tests/DecisionLogTest.cpp
@@ -65,13 +65,13 @@
 {
     const Pipe pipe;
     DecisionLog log("node-1", linesPerSecond, pipe.writeEnd());
-    const TimePoint began = SystemClock().now();
+    const TimePoint startedAt = SystemClock().now();
     constexpr std::uint64_t offered = 10 * 3 * linesPerSecond;
     for (std::uint64_t number = 0; number < offered; ++number) {
         log.line("sent").with("request", std::to_string(number)).with("engine", "an engine's name").with("pick", "free");
         log.flushIfDue(SystemClock().now());
     }
-    const double seconds = toSeconds(SystemClock().now() - began);
+    const double seconds = toSeconds(SystemClock().now() - startedAt);
     const auto written = offered - log.dropped();
     CHECK(static_cast<double>(written) <= linesPerSecond * (1 + seconds) + 1);
     log.flush();
--- a/libs/serving/tests/EventScannerTest.cpp
+++ b/libs/serving/tests/EventScannerTest.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-struct Seen {
+struct ScanResult {
     std::vector<std::uint64_t> ids_;
     std::string data_;
     std::string raw_;
 };
 
-Seen scan(std::string_view bytes, std::size_t piece)
+ScanResult scan(std::string_view bytes, std::size_t piece)
 {
-    Seen seen;
+    ScanResult result;
     EventScanner scanner;
     for (std::size_t at = 0; at < bytes.size(); at += piece) {
         scanner.feed(bytes.substr(at, piece), [&](const StreamEvent& event) {
-            seen.ids_.push_back(event.id_.value_or(0));
-            seen.data_ += std::string(event.data_) + "|";
-            seen.raw_ += event.raw_;
+            result.ids_.push_back(event.id_.value_or(0));
+            result.data_ += std::string(event.data_) + "|";
+            result.raw_ += event.raw_;
         });
     }
-    return seen;
+    return result;
 }
 
 } // namespace
@@ -34,10 +34,10 @@
 {
     const std::string stream = "id: 1\ndata: one\n\nid:2\r\ndata:two\r\n\r\n: comment\nid: 3\ndata: three\n\n";
     for (std::size_t piece = 1; piece <= stream.size(); ++piece) {
-        const Seen seen = scan(stream, piece);
-        CHECK(seen.ids_ == std::vector<std::uint64_t> { 1, 2, 3 });
-        CHECK(seen.data_ == "one|two|three|");
-        CHECK(seen.raw_ == stream);
+        const ScanResult result = scan(stream, piece);
+        CHECK(result.ids_ == std::vector<std::uint64_t> { 1, 2, 3 });
+        CHECK(result.data_ == "one|two|three|");
+        CHECK(result.raw_ == stream);
     }
 }
 
--- a/libs/serving/tests/HopTimesTest.cpp
+++ b/libs/serving/tests/HopTimesTest.cpp
@@ -12,7 +12,7 @@
     for (const Duration elapsed : { Duration(0ms), Duration(40ms), Duration(900ms), Duration(3s) }) {
         const HopTimes times = hopTimes(1s, elapsed);
         CHECK(times.wait_ + elapsed <= std::max<Duration>(1s, elapsed));
-        CHECK(times.bound_ >= times.wait_ + 500ms);
+        CHECK(times.timeout_ >= times.wait_ + 500ms);
     }
     CHECK(hopTimes(0ms, 0ms).wait_ == Duration::zero());
 }
