--- a/libs/serving/src/JobFront.cpp
+++ b/libs/serving/src/JobFront.cpp
@@ -128,10 +128,10 @@
         return exchange->respond({ 202, { { "Content-Type", "application/json" } }, "{}" });
     case AcceptOutcome::NotAccepted:
         context_.metrics_.metrics_.add(context_.metrics_.refused_);
-        return exchange->respond(refusalResponse(context_.translation_, 503, "store.Unavailable", "the store is unavailable and the job was not accepted; none of its items run", RunState::NotRun, retryAfter));
+        return exchange->respond(refusalResponse(context_.translation_, 503, "store.Unavailable", "the store can't take the job now; no item of it runs", RunState::NotRun, retryAfter));
     case AcceptOutcome::Unknown:
         context_.metrics_.metrics_.add(context_.metrics_.failed_);
-        return exchange->respond(refusalResponse(context_.translation_, 500, "store.OutcomeUnknown", "the store did not answer; the job may have been accepted, submit it again", RunState::OutcomeUnknown, {}));
+        return exchange->respond(refusalResponse(context_.translation_, 500, "store.OutcomeUnknown", "the store gave no answer; the job may be accepted, send it again", RunState::OutcomeUnknown, {}));
     case AcceptOutcome::Invalid:
         return exchange->respond(refusalResponse(context_.translation_, 400, "job.Invalid", answer.failure_.message(), RunState::NotRun, {}));
     }
@@ -248,7 +248,7 @@
     if (isUnsure || outcome == ReadOutcome::Missing)
         context_.log_.line("jobCallFailed").with("job", jobOf(pending.call_)).with("call", nameOf(pending.call_)).with("outcome", isUnsure ? "unsure" : "missing").with("hops", pending.hops_).with("afterMs", context_.now() - pending.startedAt_);
     if (isUnsure)
-        return exchange.respond(refusalResponse(context_.translation_, 503, "job.Unsure", "neither the job's owner nor the store can be reached", RunState::NotRun, retryAfter));
+        return exchange.respond(refusalResponse(context_.translation_, 503, "job.Unsure", "neither the job's owner nor the store can be asked now", RunState::NotRun, retryAfter));
     if (outcome == ReadOutcome::Missing)
         return exchange.respond(refusalResponse(context_.translation_, 404, "job.NotFound", "no such job or item", RunState::NotRun, {}));
     if (const auto* read = std::get_if<ReadAnswer>(&reply))
--- a/libs/serving/src/RelayAnswer.cpp
+++ b/libs/serving/src/RelayAnswer.cpp
@@ -189,7 +189,7 @@
     const Duration maxRetryDelay = std::max<Duration>(timeLeft() / retryDivisor - retryMargin, Duration::zero());
     const Duration rest = context_.queue_->refused(service_, wait, context_.now());
     const Duration retry = std::clamp<Duration>(rest, std::min(minRetryAfter, maxRetryDelay), std::max(maxRetryDelay, Duration(1ms)));
-    exchange_->respond(refusalResponse(context_.translation_, 503, "overload.NoSlot", "no engine can run the request in time; it was not run", RunState::NotRun, retry));
+    exchange_->respond(refusalResponse(context_.translation_, 503, "overload.NoSlot", "no engine can take the request in time; it has not run", RunState::NotRun, retry));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
     line("refused").with("reason", reason).with("status", 503).with("retryAfterMs", retry).with("afterMs", context_.now() - arrivedAt_);
     end();
@@ -216,7 +216,7 @@
         return end();
     }
     if (ran)
-        return fail(504, "request.TimedOut", "no answer within the request's timeout; the request may have run", RunState::OutcomeUnknown);
+        return fail(504, "request.TimedOut", "no answer within the request's time; it may have run", RunState::OutcomeUnknown);
     refuse("timedOut", minRetryAfter);
 }
 
--- a/libs/serving/src/RelayedRequest.cpp
+++ b/libs/serving/src/RelayedRequest.cpp
@@ -112,7 +112,7 @@
 {
     if (hasAnswerStarted_ || mayHaveRun())
         return lost(http::Error::ConnectFailed);
-    exchange_->respond(refusalResponse(context_.translation_, 503, "request.CrashesEngines", "engines crashed while running requests with this content; the request was not run", RunState::NotRun, CrashSuspects::blockDuration));
+    exchange_->respond(refusalResponse(context_.translation_, 503, "request.CrashesEngines", "engines went down with this content; it has not run", RunState::NotRun, CrashSuspects::blockDuration));
     context_.metrics_.metrics_.add(context_.metrics_.refused_);
     line("refused").with("reason", "crashesEngines").with("status", 503).with("afterMs", context_.now() - arrivedAt_);
     end();
--- a/libs/serving/src/ServingTurn.cpp
+++ b/libs/serving/src/ServingTurn.cpp
@@ -138,14 +138,14 @@
     const http::Request& request = exchange->request();
     const auto table = context_.table_;
     if (!table)
-        return exchange->respond(refusalResponse(translation_, 503, "config.None", "this node has no configuration yet", RunState::NotRun, notReadyRetry));
+        return exchange->respond(refusalResponse(translation_, 503, "config.None", "this node knows no configuration yet", RunState::NotRun, notReadyRetry));
     const std::string_view host = request.headers_.find("Host");
     if (auto call = translation_.parseJobRequest_(request); call && table->findBatchRoute(host))
         return jobs_->call(std::move(exchange), std::move(*call));
     const Route* route = table->select(host, request.target_);
     if (!route) {
         log_.line("noRoute").with("request", request.headers_.find(translation_.headers_.attemptId_)).with("host", host).with("path", request.path()).with("config", table->version());
-        return exchange->respond(refusalResponse(translation_, 404, "route.None", "no route matches this host and path", RunState::NotRun, {}));
+        return exchange->respond(refusalResponse(translation_, 404, "route.None", "no route carries this host and path", RunState::NotRun, {}));
     }
     if (route->kind_ == RouteKind::Batch)
         return jobs_->submit(exchange, *route);
@@ -165,12 +165,12 @@
         return exchange->respond({ 200, { { "Content-Type", "text/plain; version=0.0.4" } }, metrics_.prometheusText() });
     const JobName job(path.substr(jobsPath.size()));
     if (!isValidJobName(job))
-        return exchange->respond(refusalResponse(translation_, 400, "job.BadName", "invalid job name", RunState::NotRun, {}));
+        return exchange->respond(refusalResponse(translation_, 400, "job.BadName", "no job has such a name", RunState::NotRun, {}));
     scheduler_->locate(job, context_.now(), [this, exchange, job, isJson](const JobScheduler::JobLocation& place) {
         if (place.outcome_ == ReadOutcome::Missing)
             return exchange->respond(refusalResponse(translation_, 404, "job.NotFound", "no such job", RunState::NotRun, {}));
         if (place.outcome_ != ReadOutcome::Found)
-            return exchange->respond(refusalResponse(translation_, 503, "job.Unsure", "the store is unavailable", RunState::NotRun, notReadyRetry));
+            return exchange->respond(refusalResponse(translation_, 503, "job.Unsure", "the store can't be asked now", RunState::NotRun, notReadyRetry));
         const std::string owner = place.owner_ == fleet_->self() ? fleet_->address() : fleet_->addressOf(place.owner_);
         const json::object body { { "job", job }, { "owner", owner }, { "ownerLives", fleet_->isLive(place.owner_) }, { "state", toString(place.state_) }, { "items", place.total_ } };
         exchange->respond({ 200, { isJson }, json::serialize(body) });
