--- a/libs/capacity/include/capacity/CapacityBoard.h
+++ b/libs/capacity/include/capacity/CapacityBoard.h
@@ -313,9 +313,9 @@
     HostLocation location_;
     std::mt19937_64 random_;
     std::unordered_map<UpstreamId, Engine> engines_;
-    // Invariant: crashSuspects_ holds the engines with isSuspect_ set, and ownWork_ the engines that run work of this node. The sets are
+    // Invariant: suspects_ holds the engines with isSuspect_ set, and ownWork_ the engines that run work of this node. The sets are
     // ordered, so that iteration is deterministic.
-    std::set<UpstreamId> crashSuspects_;
+    std::set<UpstreamId> suspects_;
     std::set<UpstreamId> ownWork_;
     std::map<NodeId, Report> reports_;
     std::map<CellId, CellReport> cells_; // the last reports of other cells
--- a/libs/capacity/src/CapacityAnswers.cpp
+++ b/libs/capacity/src/CapacityAnswers.cpp
@@ -78,9 +78,9 @@
 {
     engine.isSuspect_ = isSuspect;
     if (isSuspect)
-        crashSuspects_.insert(engine.entry_.id_);
+        suspects_.insert(engine.entry_.id_);
     else
-        crashSuspects_.erase(engine.entry_.id_);
+        suspects_.erase(engine.entry_.id_);
 }
 
 void CapacityBoard::recordProbeSuccess(UpstreamId engine)
@@ -100,7 +100,7 @@
 std::vector<UpstreamId> CapacityBoard::enginesDueForProbe(TimePoint now) const
 {
     std::vector<UpstreamId> due;
-    for (const UpstreamId id : crashSuspects_) {
+    for (const UpstreamId id : suspects_) {
         const Engine& engine = engines_.at(id);
         if (!engine.hasPassedProbe_ && now >= engine.backoffUntil_)
             due.push_back(id);
--- a/libs/capacity/src/CapacityBoard.cpp
+++ b/libs/capacity/src/CapacityBoard.cpp
@@ -61,7 +61,7 @@
 void CapacityBoard::remove(UpstreamId engine)
 {
     engines_.erase(engine);
-    crashSuspects_.erase(engine);
+    suspects_.erase(engine);
     ownWork_.erase(engine);
 }
 
@@ -130,7 +130,7 @@
     NodeUse use;
     for (const UpstreamId id : ownWork_)
         use.uses_.push_back(engines_.at(id).own_);
-    use.failingEngines_.assign(crashSuspects_.begin(), crashSuspects_.end());
+    use.failingEngines_.assign(suspects_.begin(), suspects_.end());
     for (const auto& [service, waiting] : ownWaiting_) {
         if (waiting.count_ > 0)
             use.waiting_.push_back(waiting);
